--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -1,5 +1,5 @@
 //! What may change in a catalogue, and why a batch of changes is refused. A batch is applied whole or not at all.
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 
 /// All that is known of a title.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,7 +45,7 @@
     /// A box stands in a rack.
     Stands {
         server: ServerId,
-        rack: RackNo,
+        rack: RackId,
     },
 }
 
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::packed::Packed;
 use crate::version::{BoxOf, Builder, Version};
 use std::sync::Arc;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 
 const MAGIC: &[u8; 8] = b"WNLNCAT1";
 pub const HEADER: usize = 36;
@@ -181,7 +181,7 @@
                     builder.tell(BoxOf {
                         server: ServerId(word(b, 0)),
                         gone: b[4] & 1 != 0,
-                        rack: (b[4] & 2 != 0).then(|| RackNo(word(b, 5))),
+                        rack: (b[4] & 2 != 0).then(|| RackId(word(b, 5))),
                     });
                 }
                 self.builder = Some(builder);
--- a/crates/catalogue/src/version.rs
+++ b/crates/catalogue/src/version.rs
@@ -11,7 +11,7 @@
 use roaring::RoaringBitmap;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 
 /// What a version knows of a box.
 #[derive(Debug, Clone, Default)]
@@ -19,7 +19,7 @@
     /// Positions of the titles that it holds.
     titles: Arc<RoaringBitmap>,
     gone: bool,
-    rack: Option<RackNo>,
+    rack: Option<RackId>,
 }
 
 /// A box as snapshots tell it.
@@ -27,7 +27,7 @@
 pub struct BoxOf {
     pub server: ServerId,
     pub gone: bool,
-    pub rack: Option<RackNo>,
+    pub rack: Option<RackId>,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -114,7 +114,7 @@
     }
 
     /// Boxes that stand in a rack, and the titles that they hold among them. Costs what their sets hold.
-    pub fn in_rack(&self, rack: RackNo) -> (Vec<ServerId>, Vec<&Packed>) {
+    pub fn in_rack(&self, rack: RackId) -> (Vec<ServerId>, Vec<&Packed>) {
         let there: Vec<_> = self.boxes.iter().filter(|(_, b)| b.rack == Some(rack)).collect();
         let mut held = RoaringBitmap::new();
         there.iter().for_each(|(_, b)| held |= &*b.titles);
--- a/crates/catalogue/src/wire.rs
+++ b/crates/catalogue/src/wire.rs
@@ -6,7 +6,7 @@
 //! ```
 use crate::change::{Change, Numbered, Title};
 use serde::{Deserialize, Serialize};
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -101,7 +101,7 @@
         What::Rates(r) => Change::Rates { name: r.title, rates: r.rates },
         What::Gone(server) => Change::Gone(ServerId(server)),
         What::Back(server) => Change::Back(ServerId(server)),
-        What::Stands(s) => Change::Stands { server: ServerId(s.server), rack: RackNo(s.rack) },
+        What::Stands(s) => Change::Stands { server: ServerId(s.server), rack: RackId(s.rack) },
     };
     Ok(Numbered { number, change })
 }
@@ -129,7 +129,7 @@
             Change::Rates { name, rates: vec![1.0] },
             Change::Gone(server),
             Change::Back(server),
-            Change::Stands { server, rack: RackNo(2) },
+            Change::Stands { server, rack: RackId(2) },
         ];
         for (number, change) in all.into_iter().enumerate() {
             let n = Numbered { number: number as u64, change };
--- a/crates/catalogue/tests/snapshots.rs
+++ b/crates/catalogue/tests/snapshots.rs
@@ -1,7 +1,7 @@
 //! Snapshots: read back the same from any cut of the bytes, refused with their place when anything of them is wrong.
 use proptest::prelude::*;
 use std::sync::Arc;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::Title;
 use walnutline_catalogue::packed::Packed;
 use walnutline_catalogue::snapshot::{pieces, Bad, Reader, HEADER};
@@ -10,7 +10,7 @@
 fn version(titles: u32) -> Version {
     let mut b = Builder::new(77, vec!["council".into(), "board".into()], None).unwrap();
     for n in 0..20 {
-        b.tell(BoxOf { server: ServerId(n), gone: n % 7 == 3, rack: (n % 2 == 0).then_some(RackNo(n % 3)) });
+        b.tell(BoxOf { server: ServerId(n), gone: n % 7 == 3, rack: (n % 2 == 0).then_some(RackId(n % 3)) });
     }
     for n in 0..titles {
         let t = Title {
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -1,7 +1,7 @@
 //! Versions against a plain map, whatever comes in whatever order.
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::{Change, Fault, Numbered, Title};
 use walnutline_catalogue::packed::Packed;
 use walnutline_catalogue::version::{BoxOf, Builder, Version};
@@ -11,7 +11,7 @@
 struct Plain {
     titles: BTreeMap<String, Title>,
     gone: BTreeSet<ServerId>,
-    racks: BTreeMap<ServerId, RackNo>,
+    racks: BTreeMap<ServerId, RackId>,
 }
 
 impl Plain {
@@ -88,7 +88,7 @@
             plain.titles.iter().filter(|(_, t)| sound(t) == left).map(|(n, _)| n.as_str()).collect();
         prop_assert_eq!(told, wanted);
     }
-    for rack in (0..2).map(RackNo) {
+    for rack in (0..2).map(RackId) {
         let (boxes, held) = v.in_rack(rack);
         let stands = |s: &ServerId| plain.racks.get(s) == Some(&rack);
         prop_assert!(boxes.iter().all(stands));
@@ -140,7 +140,7 @@
         1 => (name(), 1.0..9.0f32).prop_map(|(name, r)| Change::Rates { name, rates: vec![r, r + 1.0] }),
         1 => server().prop_map(Change::Gone),
         1 => server().prop_map(Change::Back),
-        1 => (server(), 0u32..2).prop_map(|(server, rack)| Change::Stands { server, rack: RackNo(rack) }),
+        1 => (server(), 0u32..2).prop_map(|(server, rack)| Change::Stands { server, rack: RackId(rack) }),
     ]
 }
 
--- a/crates/cli/src/bench_catalogue.rs
+++ b/crates/cli/src/bench_catalogue.rs
@@ -8,7 +8,7 @@
 use std::io::{BufRead, Write};
 use std::process::{Command, Stdio};
 use std::time::Instant;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::{Change, Numbered, Title};
 use walnutline_catalogue::current::Writer;
 use walnutline_catalogue::demand::Demand;
@@ -60,7 +60,7 @@
 fn version(titles: u32) -> Version {
     let groups = vec!["council-notice".into(), "board-loop".into()];
     let mut b = Builder::new(1, groups, None).expect("two groups");
-    (0..BOXES).for_each(|n| b.tell(BoxOf { server: ServerId(n), gone: false, rack: Some(RackNo(n % 20)) }));
+    (0..BOXES).for_each(|n| b.tell(BoxOf { server: ServerId(n), gone: false, rack: Some(RackId(n % 20)) }));
     for n in 0..titles {
         let packed = Packed::new(&title(n)).expect("a sound title");
         b.title(packed).expect("each name once");
--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -26,7 +26,12 @@
 
 pub fn check(file: &Path) -> Result<(), String> {
     let d = load(file)?;
-    println!("{}: good; {} service groups, {} rungs", file.display(), d.groups.len(), d.terms.rung_kb.len());
+    println!(
+        "{}: good; {} service groups, {} rungs",
+        file.display(),
+        d.groups.len(),
+        d.terms.rung_kb_per_s.len()
+    );
     Ok(())
 }
 
--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use support::*;
 use test_case::test_case;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::{Change, Numbered, Title};
 use walnutline_catalogue::packed::Packed;
 use walnutline_catalogue::version::{BoxOf, Builder, Version};
@@ -21,7 +21,7 @@
 fn version(number: u64, titles: &[Title], gone: &[u32]) -> Version {
     let mut b = Builder::new(number, vec!["council-notice".into(), "paid".into()], None).unwrap();
     for n in 0..4 {
-        b.tell(BoxOf { server: ServerId(n), gone: gone.contains(&n), rack: Some(RackNo(n % 2)) });
+        b.tell(BoxOf { server: ServerId(n), gone: gone.contains(&n), rack: Some(RackId(n % 2)) });
     }
     titles.iter().for_each(|t| b.title(Packed::new(t).unwrap()).unwrap());
     b.finish()
--- a/crates/desk/src/exchange.rs
+++ b/crates/desk/src/exchange.rs
@@ -1,8 +1,8 @@
 //! What the live desk is told and what it tells: plain values, free of any socket.
 use std::net::SocketAddr;
 use std::sync::Arc;
-use walnutline::fleet::Listed;
-use walnutline::ids::{GroupNo, Ms, ServerId, SessId, TitleId};
+use walnutline::fleet::ListEntry;
+use walnutline::ids::{GroupIndex, Ms, ServerId, SessionId, TitleId};
 
 /// Limits of waiting that the operator states, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -20,7 +20,7 @@
 /// A viewer's request that was let in.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ask {
-    pub group: GroupNo,
+    pub group: GroupIndex,
     pub title: TitleId,
     pub holders: Vec<ServerId>,
     /// The title's true rate at each rung, where it is known.
@@ -33,7 +33,7 @@
 /// One line of the list with the way to the box.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BoxLine {
-    pub listed: Listed,
+    pub listed: ListEntry,
     pub control: SocketAddr,
 }
 
@@ -77,7 +77,7 @@
 /// What is to be sent to a box. `T` is what the caller keeps with a session.
 #[derive(Debug, PartialEq)]
 pub enum ToBox<T> {
-    Setup { id: SessId, of: Arc<T>, rung: u8 },
+    Setup { id: SessionId, of: Arc<T>, rung: u8 },
     Probe,
     Rung { session: String, rung: u8 },
     Teardown { session: String },
@@ -96,6 +96,6 @@
     Connect { server: ServerId, conn: u64, address: SocketAddr },
     Close { server: ServerId, conn: u64 },
     Send { server: ServerId, conn: u64, cseq: u32, what: ToBox<T> },
-    Answer { id: SessId, of: Arc<T>, answer: Answer },
+    Answer { id: SessionId, of: Arc<T>, answer: Answer },
     Log(String),
 }
--- a/crates/desk/src/link.rs
+++ b/crates/desk/src/link.rs
@@ -3,14 +3,14 @@
 use crate::retry::Retry;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use walnutline::fleet::Listing;
-use walnutline::ids::{Ms, SessId};
-use walnutline::interface::Ending;
+use walnutline::api::SetupOutcome;
+use walnutline::fleet::ServerState;
+use walnutline::ids::{Ms, SessionId};
 
 /// What a message asked of the box.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Asked {
-    Setup(SessId),
+    Setup(SessionId),
     Probe,
     /// A change of rung or a TEARDOWN: nothing waits for its answer.
     Other,
@@ -52,14 +52,14 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Ends {
     /// SETUPs and probes, with what the close proves of each.
-    pub out: Vec<(Asked, Ending)>,
+    pub out: Vec<(Asked, SetupOutcome)>,
     /// Sessions that played over it.
-    pub sessions: Vec<SessId>,
+    pub sessions: Vec<SessionId>,
 }
 
 pub struct Link {
     pub address: SocketAddr,
-    pub listing: Listing,
+    pub listing: ServerState,
     pub state: State,
     pub retry: Retry,
     /// When the box was last heard.
@@ -70,11 +70,11 @@
     waiting: Vec<(u64, Asked)>,
     tickets: u64,
     /// Sessions that play, by the name that the box gave them.
-    playing: BTreeMap<String, SessId>,
+    playing: BTreeMap<String, SessionId>,
 }
 
 impl Link {
-    pub fn new(address: SocketAddr, listing: Listing) -> Self {
+    pub fn new(address: SocketAddr, listing: ServerState) -> Self {
         Link {
             address,
             listing,
@@ -143,7 +143,7 @@
     }
 
     /// The SETUP of a session is given up before it went out.
-    pub fn take_waiting_setup(&mut self, id: SessId) -> bool {
+    pub fn take_waiting_setup(&mut self, id: SessionId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|(_, what)| *what != Asked::Setup(id));
         self.waiting.len() < before
@@ -170,11 +170,11 @@
         (!std::mem::replace(&mut out.given_up, true)).then(|| out.what.clone())
     }
 
-    pub fn plays(&mut self, name: String, id: SessId) {
+    pub fn plays(&mut self, name: String, id: SessionId) {
         self.playing.insert(name, id);
     }
 
-    pub fn session_over(&mut self, name: &str) -> Option<SessId> {
+    pub fn session_over(&mut self, name: &str) -> Option<SessionId> {
         self.playing.remove(name)
     }
 
@@ -198,7 +198,7 @@
     /// has been reported before and is left out.
     pub fn closed(&mut self, begun: u32, until: Ms) -> Ends {
         self.state = State::Waiting { until };
-        let proves = |cseq: u32| if cseq > begun { Ending::NeverSent } else { Ending::Broken };
+        let proves = |cseq: u32| if cseq > begun { SetupOutcome::NeverSent } else { SetupOutcome::Broken };
         let out = std::mem::take(&mut self.out).into_iter().filter(|(_, out)| !out.given_up);
         Ends {
             out: out.map(|(cseq, out)| (out.what, proves(cseq))).collect(),
@@ -212,7 +212,7 @@
     use super::*;
 
     fn up() -> Link {
-        let mut link = Link::new(([127, 0, 0, 1], 1).into(), Listing::Ready);
+        let mut link = Link::new(([127, 0, 0, 1], 1).into(), ServerState::Ready);
         let conn = link.connect();
         link.connected(conn);
         link
@@ -222,39 +222,39 @@
     fn a_close_tells_what_never_ran_from_what_may_have() {
         let mut link = up();
         for id in 1..=3 {
-            link.send(Asked::Setup(SessId(id)));
+            link.send(Asked::Setup(SessionId(id)));
         }
         let ends = link.closed(2, 0.0);
-        let expect = [(1, Ending::Broken), (2, Ending::Broken), (3, Ending::NeverSent)];
-        assert_eq!(ends.out, expect.map(|(id, e)| (Asked::Setup(SessId(id)), e)));
+        let expect = [(1, SetupOutcome::Broken), (2, SetupOutcome::Broken), (3, SetupOutcome::NeverSent)];
+        assert_eq!(ends.out, expect.map(|(id, e)| (Asked::Setup(SessionId(id)), e)));
     }
 
     #[test]
     fn what_was_given_up_is_reported_once_and_its_answer_is_known() {
         let mut link = up();
-        let Sent::On { cseq, .. } = link.send(Asked::Setup(SessId(1))) else { panic!() };
-        assert_eq!(link.give_up(cseq), Some(Asked::Setup(SessId(1))));
+        let Sent::On { cseq, .. } = link.send(Asked::Setup(SessionId(1))) else { panic!() };
+        assert_eq!(link.give_up(cseq), Some(Asked::Setup(SessionId(1))));
         assert_eq!(link.give_up(cseq), None);
         assert!(link.answered(cseq).is_some_and(|out| out.given_up));
-        let Sent::On { cseq, .. } = link.send(Asked::Setup(SessId(2))) else { panic!() };
+        let Sent::On { cseq, .. } = link.send(Asked::Setup(SessionId(2))) else { panic!() };
         link.give_up(cseq);
         assert_eq!(link.closed(9, 0.0).out, []);
     }
 
     #[test]
     fn what_waits_for_a_connection_goes_out_in_order_or_never() {
-        let mut link = Link::new(([127, 0, 0, 1], 1).into(), Listing::Ready);
+        let mut link = Link::new(([127, 0, 0, 1], 1).into(), ServerState::Ready);
         assert_eq!(link.send(Asked::Probe), Sent::Nowhere);
         let conn = link.connect();
         let Sent::Waits { ticket } = link.send(Asked::Probe) else { panic!() };
-        link.send(Asked::Setup(SessId(1)));
+        link.send(Asked::Setup(SessionId(1)));
         assert_eq!(link.take_waiting(ticket), Some(Asked::Probe));
         assert_eq!(link.take_waiting(ticket), None);
-        assert_eq!(link.connected(conn), [(Asked::Setup(SessId(1)), 1)]);
+        assert_eq!(link.connected(conn), [(Asked::Setup(SessionId(1)), 1)]);
         link.closed(0, 0.0);
         link.connect();
-        link.send(Asked::Setup(SessId(2)));
-        assert_eq!(link.not_connected(5.0), [Asked::Setup(SessId(2))]);
+        link.send(Asked::Setup(SessionId(2)));
+        assert_eq!(link.not_connected(5.0), [Asked::Setup(SessionId(2))]);
     }
 
     #[test]
--- a/crates/desk/src/live.rs
+++ b/crates/desk/src/live.rs
@@ -8,10 +8,10 @@
 use crate::timers::Timers;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use walnutline::fleet::Listing;
-use walnutline::ids::{Ms, ServerId, SessId};
-use walnutline::interface::{Ending, Holders, Request};
-use walnutline::terms::{Column, Terms};
+use walnutline::api::{Holders, Request, SetupOutcome};
+use walnutline::fleet::ServerState;
+use walnutline::ids::{Ms, ServerId, SessionId};
+use walnutline::settings::{PolicySettings, ReportColumn};
 
 pub use crate::exchange::*;
 
@@ -45,7 +45,7 @@
     desk: Desk,
     waits: Waits,
     links: BTreeMap<ServerId, Link>,
-    sess: BTreeMap<SessId, Sess<T>>,
+    sess: BTreeMap<SessionId, Sess<T>>,
     timers: Timers<Due>,
     again_at: Ms,
     stall: Stall,
@@ -55,7 +55,7 @@
 }
 
 impl<T> Live<T> {
-    pub fn new(terms: Terms, waits: Waits, seed: u64, now: Ms) -> Self {
+    pub fn new(terms: PolicySettings, waits: Waits, seed: u64, now: Ms) -> Self {
         Live {
             desk: Desk::new(terms, seed, now),
             waits,
@@ -87,14 +87,14 @@
 
     // ---- viewers ----
 
-    pub fn asked(&mut self, id: SessId, ask: Ask, of: T, now: Ms) {
+    pub fn asked(&mut self, id: SessionId, ask: Ask, of: T, now: Ms) {
         self.sess.insert(id, Sess { of: Arc::new(of), owed: true, out: None, plays: None });
         let request = Request {
             group: ask.group,
             title: ask.title,
             holders: Holders::named(ask.holders),
-            rates: ask.rates,
-            top: ask.top,
+            rates_kb_per_s: ask.rates,
+            highest_rung: ask.top,
             left: ask.left - self.waits.way_back,
         };
         self.desk.asked(id, request, now, &mut self.actions);
@@ -103,14 +103,14 @@
 
     /// The viewer left before its answer reached it: its SETUP, if one is out, is not waited for; a session that
     /// plays already, the answer being on its way, is torn down.
-    pub fn left(&mut self, id: SessId, now: Ms) {
+    pub fn left(&mut self, id: SessionId, now: Ms) {
         let Some(s) = self.sess.get_mut(&id) else { return };
         if let Some((server, session)) = s.plays.clone() {
             if let Some(conn) = self.links.get_mut(&server).and_then(|l| l.session_over(&session).and(l.up()))
             {
                 self.send(server, conn, Asked::Other, ToBox::Teardown { session });
             }
-            self.over(id, Ending::Withdrawn, now);
+            self.over(id, SetupOutcome::Withdrawn, now);
             return self.settle(now);
         }
         s.owed = false;
@@ -123,17 +123,17 @@
                     None => drop(link.take_waiting_setup(id)),
                 }
             }
-            self.desk.ended(id, Ending::Withdrawn, true, now, &mut self.actions);
+            self.desk.ended(id, SetupOutcome::Withdrawn, true, now, &mut self.actions);
         }
         self.sess.remove(&id);
         self.settle(now);
     }
 
     /// Where a session plays and at which rung, for a renewed manifest; `None` once it is over.
-    pub fn plays(&self, id: SessId) -> Option<(ServerId, u8, Arc<T>)> {
+    pub fn plays(&self, id: SessionId) -> Option<(ServerId, u8, Arc<T>)> {
         let s = self.sess.get(&id)?;
         let (server, _) = s.plays.as_ref()?;
-        Some((*server, self.desk.hand.sess.get(&id)?.rung, s.of.clone()))
+        Some((*server, self.desk.hand.sessions.get(&id)?.rung, s.of.clone()))
     }
 
     // ---- news asked for besides ----
@@ -142,8 +142,8 @@
     /// aside: those are theirs to try.
     pub fn heard_at(&self, server: ServerId) -> Option<Ms> {
         let s = self.desk.front.fleet.servers.get(&server)?;
-        (s.listed.listing == Listing::Ready && s.fails == 0)
-            .then(|| s.link.map_or(Ms::NEG_INFINITY, |seen| seen.at))
+        (s.listed.state == ServerState::Ready && s.failures == 0)
+            .then(|| s.link_use.map_or(Ms::NEG_INFINITY, |seen| seen.at))
     }
 
     /// Asks boxes for their load, as the decisions do; what they answer goes to these all the same.
@@ -157,7 +157,7 @@
     pub fn listed_all(&mut self, lines: Vec<BoxLine>, now: Ms) {
         lines.iter().for_each(|line| self.moved(line, now));
         self.desk.listed_all(lines.iter().map(|l| l.listed.clone()).collect());
-        self.links.values_mut().for_each(|link| link.listing = Listing::Gone);
+        self.links.values_mut().for_each(|link| link.listing = ServerState::Gone);
         lines.into_iter().for_each(|line| self.line(line, now));
         self.call_back(now);
         self.hang_up_gone();
@@ -189,9 +189,10 @@
 
     fn line(&mut self, line: BoxLine, now: Ms) {
         let server = line.listed.id;
-        let link = self.links.entry(server).or_insert_with(|| Link::new(line.control, line.listed.listing));
-        link.listing = line.listed.listing;
-        if link.listing != Listing::Gone && matches!(link.state, State::Waiting { until } if until <= now) {
+        let link = self.links.entry(server).or_insert_with(|| Link::new(line.control, line.listed.state));
+        link.listing = line.listed.state;
+        if link.listing != ServerState::Gone && matches!(link.state, State::Waiting { until } if until <= now)
+        {
             self.connect(server, now);
         }
     }
@@ -199,16 +200,16 @@
     /// SETUPs that wait for a connection to a box that is no longer ready never go out: the connection may open
     /// after the grace for drains is over.
     fn call_back(&mut self, now: Ms) {
-        let away = self.links.iter_mut().filter(|(_, link)| link.listing != Listing::Ready);
+        let away = self.links.iter_mut().filter(|(_, link)| link.listing != ServerState::Ready);
         let back: Vec<_> = away.map(|(server, link)| (*server, link.take_waiting_setups())).collect();
         for (server, setups) in back {
-            setups.into_iter().for_each(|what| self.ended(server, what, Ending::NeverSent, now));
+            setups.into_iter().for_each(|what| self.ended(server, what, SetupOutcome::NeverSent, now));
         }
     }
 
     /// Connections to boxes that are gone close once nothing is left on them.
     fn hang_up_gone(&mut self) {
-        let gone = self.links.iter().filter(|(_, link)| link.listing == Listing::Gone);
+        let gone = self.links.iter().filter(|(_, link)| link.listing == ServerState::Gone);
         for server in gone.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.hang_up(server);
         }
@@ -216,7 +217,7 @@
 
     fn hang_up(&mut self, server: ServerId) {
         let Some(link) = self.links.get_mut(&server) else { return };
-        if let (Listing::Gone, Some(conn), true) = (link.listing, link.up(), link.is_quiet()) {
+        if let (ServerState::Gone, Some(conn), true) = (link.listing, link.up(), link.is_quiet()) {
             link.state = State::Waiting { until: Ms::NEG_INFINITY };
             self.dos.push(Do::Close { server, conn });
         }
@@ -254,7 +255,7 @@
         let Some(link) = self.links.get_mut(&server).filter(|l| l.is_current(conn)) else { return };
         let until = now + link.retry.failed(&mut self.rng);
         for what in link.not_connected(until) {
-            self.ended(server, what, Ending::NoConnection, now);
+            self.ended(server, what, SetupOutcome::NoConnection, now);
         }
         self.timers.set(until, Due::Reconnect { server });
         self.settle(now);
@@ -269,7 +270,7 @@
             self.ended(server, what, ending, now);
         }
         for id in ends.sessions {
-            self.over(id, Ending::Broken, now);
+            self.over(id, SetupOutcome::Broken, now);
         }
         self.timers.set(until, Due::Reconnect { server });
         self.settle(now);
@@ -284,7 +285,7 @@
             FromBox::News(report) => self.news(server, report, now),
             FromBox::Over { session } => {
                 if let Some(id) = link.session_over(&session) {
-                    self.over(id, Ending::Done, now);
+                    self.over(id, SetupOutcome::Done, now);
                 }
             }
         }
@@ -305,15 +306,16 @@
             }
             (Asked::Setup(id), outcome) if !out.given_up => {
                 // A SETUP that was done without a session to show for it may have run.
-                let ending = if outcome == Outcome::Busy { Ending::BusyReplied } else { Ending::Errored };
+                let ending =
+                    if outcome == Outcome::Busy { SetupOutcome::BusyReplied } else { SetupOutcome::Errored };
                 self.ended(server, Asked::Setup(id), ending, now);
                 self.news(server, report, now);
             }
             (Asked::Probe, outcome) if !out.given_up => {
                 let ending = match outcome {
-                    Outcome::Done { .. } => Ending::Done,
-                    Outcome::Busy => Ending::BusyReplied,
-                    Outcome::Error => Ending::Errored,
+                    Outcome::Done { .. } => SetupOutcome::Done,
+                    Outcome::Busy => SetupOutcome::BusyReplied,
+                    Outcome::Error => SetupOutcome::Errored,
                 };
                 self.news(server, report, now);
                 self.desk.probed(server, ending, now);
@@ -326,21 +328,21 @@
         if report == Report::default() {
             return;
         }
-        let told = |column: &Column| match column {
-            Column::Streams => report.streams,
-            Column::Link => report.link,
-            Column::Uplink => report.uplink,
-            Column::Other => None,
+        let told = |column: &ReportColumn| match column {
+            ReportColumn::Streams => report.streams,
+            ReportColumn::Link => report.link,
+            ReportColumn::Uplink => report.uplink,
+            ReportColumn::Other => None,
         };
         // What was not told is no figure; the module leaves such out.
         let values: Vec<f64> =
-            self.desk.front.terms.columns.iter().map(|c| told(c).unwrap_or(f64::NAN)).collect();
+            self.desk.front.settings.report_columns.iter().map(|c| told(c).unwrap_or(f64::NAN)).collect();
         self.desk.report(server, &values, now);
     }
 
     // ---- sessions ----
 
-    fn plays_at(&mut self, id: SessId, server: ServerId, session: String, now: Ms) {
+    fn plays_at(&mut self, id: SessionId, server: ServerId, session: String, now: Ms) {
         let Some(s) = self.sess.get_mut(&id) else { return };
         (s.out, s.plays, s.owed) = (None, Some((server, session.clone())), false);
         let of = s.of.clone();
@@ -348,12 +350,12 @@
             link.plays(session, id);
         }
         self.desk.started(id, now);
-        let rung = self.desk.hand.sess.get(&id).map_or(0, |s| s.rung);
+        let rung = self.desk.hand.sessions.get(&id).map_or(0, |s| s.rung);
         self.dos.push(Do::Answer { id, of, answer: Answer::Plays { server, rung } });
     }
 
     /// How a message ended that is out no more.
-    fn ended(&mut self, server: ServerId, what: Asked, ending: Ending, now: Ms) {
+    fn ended(&mut self, server: ServerId, what: Asked, ending: SetupOutcome, now: Ms) {
         match what {
             Asked::Setup(id) => {
                 if let Some(s) = self.sess.get_mut(&id) {
@@ -367,7 +369,7 @@
     }
 
     /// A session that played is over.
-    fn over(&mut self, id: SessId, ending: Ending, now: Ms) {
+    fn over(&mut self, id: SessionId, ending: SetupOutcome, now: Ms) {
         let Some(s) = self.sess.remove(&id) else { return };
         self.desk.ended(id, ending, true, now, &mut self.actions);
         if let Some((server, _)) = s.plays {
@@ -375,7 +377,7 @@
         }
     }
 
-    fn final_answer(&mut self, id: SessId, answer: Answer) {
+    fn final_answer(&mut self, id: SessionId, answer: Answer) {
         let Some(s) = self.sess.remove(&id) else { return };
         if s.owed {
             self.dos.push(Do::Answer { id, of: s.of, answer });
@@ -404,9 +406,9 @@
         self.actions.clear();
     }
 
-    fn setup(&mut self, id: SessId, server: ServerId, timeout: Ms, now: Ms) {
+    fn setup(&mut self, id: SessionId, server: ServerId, timeout: Ms, now: Ms) {
         let Some(link) = self.links.get_mut(&server) else {
-            return self.ended(server, Asked::Setup(id), Ending::NoConnection, now);
+            return self.ended(server, Asked::Setup(id), SetupOutcome::NoConnection, now);
         };
         debug_assert!(self.sess.get(&id).is_none_or(|s| s.out.is_none()), "two SETUPs out for {id:?}");
         let until = now + timeout;
@@ -418,14 +420,14 @@
                     s.out = Some(SetupOut { server, cseq: None, until });
                 }
             }
-            Sent::Nowhere => self.ended(server, Asked::Setup(id), Ending::NoConnection, now),
+            Sent::Nowhere => self.ended(server, Asked::Setup(id), SetupOutcome::NoConnection, now),
         }
     }
 
     fn probe(&mut self, server: ServerId, now: Ms) {
         let Some(link) = self.links.get_mut(&server) else { return };
         // A probe to a box without a connection is the time to try one.
-        if matches!(link.state, State::Waiting { .. }) && link.listing != Listing::Gone {
+        if matches!(link.state, State::Waiting { .. }) && link.listing != ServerState::Gone {
             self.connect(server, now);
         }
         let Some(link) = self.links.get_mut(&server) else { return };
@@ -434,7 +436,7 @@
             Sent::Waits { ticket } => {
                 self.timers.set(now + self.waits.probe, Due::Waiting { server, ticket })
             }
-            Sent::Nowhere => self.desk.probed(server, Ending::NoConnection, now),
+            Sent::Nowhere => self.desk.probed(server, SetupOutcome::NoConnection, now),
         }
     }
 
@@ -442,7 +444,7 @@
     fn out(&mut self, server: ServerId, conn: u64, cseq: u32, what: Asked, until: Ms) {
         let what = match what {
             Asked::Setup(id) => {
-                let rung = self.desk.hand.sess.get(&id).map_or(0, |s| s.rung);
+                let rung = self.desk.hand.sessions.get(&id).map_or(0, |s| s.rung);
                 let Some(s) = self.sess.get_mut(&id) else { return };
                 s.out = Some(SetupOut { server, cseq: Some(cseq), until });
                 ToBox::Setup { id, of: s.of.clone(), rung }
@@ -454,7 +456,7 @@
         self.dos.push(Do::Send { server, conn, cseq, what });
     }
 
-    fn rung(&mut self, id: SessId, rung: u8) {
+    fn rung(&mut self, id: SessionId, rung: u8) {
         let Some((server, session)) = self.sess.get(&id).and_then(|s| s.plays.clone()) else { return };
         let Some(conn) = self.links.get(&server).and_then(Link::up) else { return };
         self.send(server, conn, Asked::Other, ToBox::Rung { session, rung });
@@ -501,18 +503,18 @@
             Due::Answer { server, conn, cseq } => {
                 let Some(link) = self.links.get_mut(&server).filter(|l| l.up() == Some(conn)) else { return };
                 if let Some(what) = link.give_up(cseq) {
-                    self.ended(server, what, Ending::TimedOut, now);
+                    self.ended(server, what, SetupOutcome::TimedOut, now);
                 }
             }
             Due::Waiting { server, ticket } => {
                 if let Some(what) = self.links.get_mut(&server).and_then(|l| l.take_waiting(ticket)) {
-                    self.ended(server, what, Ending::NoConnection, now);
+                    self.ended(server, what, SetupOutcome::NoConnection, now);
                 }
             }
             Due::Reconnect { server } => {
                 let Some(link) = self.links.get(&server) else { return };
                 let due = matches!(link.state, State::Waiting { until } if until <= now);
-                if due && link.listing != Listing::Gone {
+                if due && link.listing != ServerState::Gone {
                     self.connect(server, now);
                 }
             }
--- a/crates/desk/tests/live.rs
+++ b/crates/desk/tests/live.rs
@@ -2,60 +2,62 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use walnutline::fleet::{Listed, Listing};
+use walnutline::fleet::{ListEntry, ServerState};
 use walnutline::ids::*;
-use walnutline::terms::{Budget, Column, Group, ListWay, Repeat, Terms, Weights};
+use walnutline::settings::{
+    ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, RetryBudget, ServiceGroup, WeightKind,
+};
 use walnutline_desk::live::*;
 
 const BOXES: u32 = 4;
 const WAITS: Waits = Waits { connect: 300.0, probe: 200.0, silence: 5_000.0, way_back: 50.0 };
 const PATIENCE: Ms = 2_000.0;
 
-fn terms() -> Terms {
-    let group = |repeat| Group {
+fn terms() -> PolicySettings {
+    let group = |repeat| ServiceGroup {
         start_target: 800.0,
         utility: 1.0,
         repeat,
-        window: 5_000.0,
-        floor: 0,
-        top: 1,
-        scale: 1.0,
-        seats: 0,
+        key_window: 5_000.0,
+        lowest_rung: 0,
+        highest_rung: 1,
+        rate_scale: 1.0,
+        max_sessions_per_title: 0,
     };
-    Terms {
-        fronts: 1,
-        groups: vec![group(Repeat::Safe), group(Repeat::Once)],
-        rung_kb: vec![100.0, 200.0],
+    PolicySettings {
+        front_count: 1,
+        service_groups: vec![group(RepeatPolicy::Safe), group(RepeatPolicy::Once)],
+        rung_kb_per_s: vec![100.0, 200.0],
         rung_utility: vec![0.5, 1.0],
-        cells: u32::MAX,
-        racks: u32::MAX,
-        kind_streams: vec![50.0],
-        weights: Weights::Size,
-        link_kb_per_weight: 10_000.0,
-        uplink_kb: 40_000.0,
-        share_delay: 500.0,
-        change_cost: 0.0,
-        list: ListWay::Pushed,
+        cell_count: u32::MAX,
+        rack_count: u32::MAX,
+        max_streams_by_kind: vec![50.0],
+        weight_kind: WeightKind::Capacity,
+        link_kb_per_s_per_weight: 10_000.0,
+        uplink_kb_per_s: 40_000.0,
+        measurement_delay: 500.0,
+        rung_change_cost: 0.0,
+        list_delivery: ListDelivery::Pushed,
         drain_grace: 250.0,
-        columns: vec![Column::Streams, Column::Link],
-        probe_fed: true,
-        may_probe: true,
+        report_columns: vec![ReportColumn::Streams, ReportColumn::Link],
+        reports_by_probe: true,
+        probes_allowed: true,
         probe_cost: 0.0,
-        may_tell: false,
-        come_back: Some(500.0),
+        peer_messages_allowed: false,
+        max_retry_after: Some(500.0),
         max_setups: 3,
-        budget: Some(Budget { free: 3.0, share: 0.5, span: 5_000.0 }),
-        cold: None,
+        retry_budget: Some(RetryBudget { free_retries: 3.0, retries_per_request: 0.5, span: 5_000.0 }),
+        cold_start: None,
     }
 }
 
-fn line(id: u32, listing: Listing) -> BoxLine {
-    let listed = Listed {
+fn line(id: u32, listing: ServerState) -> BoxLine {
+    let listed = ListEntry {
         id: ServerId(id),
-        zone: ZoneNo(0),
-        kind: KindNo(0),
-        cell: CellNo(id % 2),
-        listing,
+        zone: ZoneIndex(0),
+        kind: KindIndex(0),
+        cell: CellId(id % 2),
+        state: listing,
         weight: 1.0,
         started: None,
     };
@@ -98,22 +100,22 @@
 
 /// The world outside, and what was seen of the desk's doing.
 struct World {
-    live: Live<SessId>,
+    live: Live<SessionId>,
     now: Ms,
     next_id: u64,
     /// Connections being opened, and open ones.
     opening: BTreeSet<(u32, u64)>,
     open: BTreeSet<(u32, u64)>,
     /// Messages out by connection, with their session where they are SETUPs.
-    out: Vec<(u32, u64, u32, Option<SessId>)>,
-    playing: BTreeMap<String, (u32, u64, SessId)>,
-    asked: BTreeMap<SessId, (Ms, BTreeSet<u32>, u16)>,
-    left: BTreeSet<SessId>,
-    answers: BTreeMap<SessId, (Answer, Ms)>,
-    setups: BTreeMap<SessId, Vec<(u32, Ms)>>,
+    out: Vec<(u32, u64, u32, Option<SessionId>)>,
+    playing: BTreeMap<String, (u32, u64, SessionId)>,
+    asked: BTreeMap<SessionId, (Ms, BTreeSet<u32>, u16)>,
+    left: BTreeSet<SessionId>,
+    answers: BTreeMap<SessionId, (Answer, Ms)>,
+    setups: BTreeMap<SessionId, Vec<(u32, Ms)>>,
     /// SETUPs that may have run, as far as the world knows: begun to be written and not surely refused.
-    may_have_run: BTreeSet<SessId>,
-    listing: BTreeMap<u32, Listing>,
+    may_have_run: BTreeSet<SessionId>,
+    listing: BTreeMap<u32, ServerState>,
 }
 
 impl World {
@@ -131,9 +133,9 @@
             answers: BTreeMap::new(),
             setups: BTreeMap::new(),
             may_have_run: BTreeSet::new(),
-            listing: (0..BOXES).map(|id| (id, Listing::Ready)).collect(),
+            listing: (0..BOXES).map(|id| (id, ServerState::Ready)).collect(),
         };
-        w.live.listed_all((0..BOXES).map(|id| line(id, Listing::Ready)).collect(), 0.0);
+        w.live.listed_all((0..BOXES).map(|id| line(id, ServerState::Ready)).collect(), 0.0);
         w.attend();
         w
     }
@@ -145,7 +147,7 @@
         }
     }
 
-    fn see(&mut self, what: Do<SessId>) {
+    fn see(&mut self, what: Do<SessionId>) {
         match what {
             Do::Connect { server, conn, address } => {
                 assert_eq!(address.port(), 1_000 + server.0 as u16);
@@ -183,10 +185,10 @@
         }
     }
 
-    fn setup(&mut self, id: SessId, server: u32) {
+    fn setup(&mut self, id: SessionId, server: u32) {
         let (_, holders, group) = &self.asked[&id];
         assert!(holders.contains(&server), "sent to a box that the request did not name");
-        assert_eq!(self.listing[&server], Listing::Ready, "sent to a box that is not ready");
+        assert_eq!(self.listing[&server], ServerState::Ready, "sent to a box that is not ready");
         assert!(!self.answers.contains_key(&id) && !self.left.contains(&id), "sent after the answer");
         assert!(*group == 0 || !self.may_have_run.contains(&id), "a paid session set up twice");
         let of = self.setups.entry(id).or_default();
@@ -211,12 +213,12 @@
     fn happen(&mut self, event: Event) {
         match event {
             Event::Ask { group, holders } => {
-                let id = SessId(self.next_id);
+                let id = SessionId(self.next_id);
                 self.next_id += 1;
                 let named: BTreeSet<u32> = (0..BOXES).filter(|b| holders >> b & 1 == 1).collect();
                 self.asked.insert(id, (self.now, named.clone(), group));
                 let ask = Ask {
-                    group: GroupNo(group),
+                    group: GroupIndex(group),
                     title: TitleId(u64::from(holders)),
                     holders: named.into_iter().map(ServerId).collect(),
                     rates: None,
@@ -248,7 +250,7 @@
             }
             Event::Close { which, begun } => {
                 if let Some((server, conn)) = Self::pick(self.open.iter().copied(), which) {
-                    let never: Vec<SessId> = self
+                    let never: Vec<SessionId> = self
                         .out
                         .iter()
                         .filter(|o| (o.0, o.1) == (server, conn) && o.2 > begun)
@@ -299,17 +301,19 @@
                 }
             }
             Event::List { id, listing } => {
-                let listing = [Listing::Ready, Listing::Draining, Listing::Gone][listing as usize];
+                let listing =
+                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][listing as usize];
                 self.listing.insert(id, listing);
                 self.live.listed(vec![line(id, listing)], self.now);
             }
             Event::WholeList(mask) => {
                 let here: Vec<u32> = (0..BOXES).filter(|b| mask >> b & 1 == 1).collect();
                 for id in 0..BOXES {
-                    let listing = if here.contains(&id) { Listing::Ready } else { Listing::Gone };
+                    let listing = if here.contains(&id) { ServerState::Ready } else { ServerState::Gone };
                     self.listing.insert(id, listing);
                 }
-                self.live.listed_all(here.into_iter().map(|id| line(id, Listing::Ready)).collect(), self.now);
+                self.live
+                    .listed_all(here.into_iter().map(|id| line(id, ServerState::Ready)).collect(), self.now);
             }
             Event::Wait(ms) => self.wait(ms),
         }
@@ -318,7 +322,7 @@
 
     /// A SETUP of these surely never ran. One that ran earlier is not made undone by it; in this world the
     /// paid ones have no earlier one that may have run, as the desk is held to that.
-    fn surely_not(&mut self, ids: &[SessId]) {
+    fn surely_not(&mut self, ids: &[SessionId]) {
         for id in ids {
             if self.asked[id].2 == 1 {
                 self.may_have_run.remove(id);
@@ -364,8 +368,8 @@
     }
 }
 
-fn ask(w: &mut World) -> SessId {
-    let id = SessId(w.next_id);
+fn ask(w: &mut World) -> SessionId {
+    let id = SessionId(w.next_id);
     w.happen(Event::Ask { group: 0, holders: 15 });
     id
 }
@@ -377,7 +381,7 @@
 }
 
 /// Probes that a session waits for are answered, until its SETUP is out.
-fn until_setup(w: &mut World, id: SessId) -> usize {
+fn until_setup(w: &mut World, id: SessionId) -> usize {
     for _ in 0..10 {
         if let Some(at) = w.out.iter().position(|o| o.3 == Some(id)) {
             return at;
@@ -466,10 +470,10 @@
     let at = until_setup(&mut w, id);
     let server = w.out[at].0;
     w.happen(Event::Reply { which: at, how: 2 });
-    let old = line(server, Listing::Ready);
+    let old = line(server, ServerState::Ready);
     let started = Some(w.now);
     let new = BoxLine {
-        listed: Listed { started, ..old.listed },
+        listed: ListEntry { started, ..old.listed },
         control: SocketAddr::from(([127, 0, 0, 2], old.control.port())),
     };
     w.live.listed(vec![new], w.now);
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -9,8 +9,8 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use walnutline::ids::{ServerId, SessId};
-use walnutline::terms::Terms;
+use walnutline::ids::{ServerId, SessionId};
+use walnutline::settings::PolicySettings;
 use walnutline_catalogue::advice::Advisor;
 use walnutline_catalogue::differ::Told;
 use walnutline_catalogue::version::Version;
@@ -22,7 +22,7 @@
 
 /// What the front keeps with a session.
 pub struct Ticket {
-    pub id: SessId,
+    pub id: SessionId,
     pub title: String,
     /// Position of its service group.
     pub group: usize,
@@ -38,7 +38,7 @@
 
 impl Ticket {
     pub fn new(
-        id: SessId,
+        id: SessionId,
         title: String,
         group: usize,
         at: f64,
@@ -75,10 +75,10 @@
         /// The catalogue's version that the request is answered by.
         known: Option<Arc<Version>>,
     },
-    Left(SessId),
+    Left(SessionId),
     /// A renewed manifest is asked for.
     Renew {
-        id: SessId,
+        id: SessionId,
         to: may::sync::mpsc::Sender<Msg>,
     },
     Connected {
@@ -137,7 +137,7 @@
 pub fn start(
     shared: Arc<Shared>,
     news: Receiver<News>,
-    terms: Terms,
+    terms: PolicySettings,
     waits: Waits,
     seed: u64,
 ) -> io::Result<()> {
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -95,8 +95,14 @@
     let clock = Clock::start();
     let seed = d.seed.unwrap_or_else(|| clock.now().to_bits() ^ u64::from(std::process::id()));
     let group = |(n, (name, patience)): (usize, &(String, f64))| {
-        let g = &d.terms.groups[n];
-        GroupTerms { name: name.clone(), scale: g.scale, floor: g.floor, top: g.top, patience: *patience }
+        let g = &d.terms.service_groups[n];
+        GroupTerms {
+            name: name.clone(),
+            scale: g.rate_scale,
+            floor: g.lowest_rung,
+            top: g.highest_rung,
+            patience: *patience,
+        }
     };
     let known = d.catalogue.map(|terms| catalogue::start(terms, clock, d.waits, seed)).transpose()?;
     let (hub, news) = crossbeam_channel::unbounded();
@@ -105,7 +111,7 @@
         door: Door::new(d.admission, d.proofs, d.issuer, d.session),
         viewers: d.viewers,
         manifest: d.manifest,
-        ladder: d.terms.rung_kb.clone(),
+        ladder: d.terms.rung_kb_per_s.clone(),
         groups: d.groups.iter().enumerate().map(group).collect(),
         public_url: d.public_url.unwrap_or_else(|| format!("http://{address}")),
         catalogue: known,
--- a/crates/front/src/list.rs
+++ b/crates/front/src/list.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use walnutline::fleet::{Listed, Listing};
-use walnutline::ids::{CellNo, KindNo, ServerId, ZoneNo};
+use walnutline::fleet::{ListEntry, ServerState};
+use walnutline::ids::{CellId, KindIndex, ServerId, ZoneIndex};
 use walnutline_control::events::{Event, Reader};
 use walnutline_control::list::{self, Line, State};
 use walnutline_desk::follow::{Follow, Sort, Verdict};
@@ -91,16 +91,16 @@
 }
 
 fn line(line: Line) -> (BoxLine, String) {
-    let listed = Listed {
+    let listed = ListEntry {
         id: ServerId(line.id),
-        zone: ZoneNo(line.building.into()),
-        kind: KindNo(line.kind),
+        zone: ZoneIndex(line.building.into()),
+        kind: KindIndex(line.kind),
         // Holders are named in requests; of cells only the rack is wanted.
-        cell: CellNo(line.rack),
-        listing: match line.state {
-            State::Ready => Listing::Ready,
-            State::Draining => Listing::Draining,
-            State::Gone => Listing::Gone,
+        cell: CellId(line.rack),
+        state: match line.state {
+            State::Ready => ServerState::Ready,
+            State::Draining => ServerState::Draining,
+            State::Gone => ServerState::Gone,
         },
         weight: line.weight,
         started: line.started,
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -12,7 +12,7 @@
 use std::net::Shutdown;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
-use walnutline::ids::{GroupNo, ServerId, SessId, TitleId};
+use walnutline::ids::{GroupIndex, ServerId, SessionId, TitleId};
 use walnutline_catalogue::advice;
 use walnutline_catalogue::version::Version;
 use walnutline_desk::live::Ask;
@@ -23,7 +23,7 @@
 pub enum Msg {
     Request(Request),
     Bad(Bad),
-    Answer(SessId, Reply),
+    Answer(SessionId, Reply),
     /// The viewer sends no more, or the connection broke: nobody waits for an answer any more.
     Gone,
 }
@@ -32,8 +32,8 @@
 struct Names(AtomicU64);
 
 impl Names {
-    fn next(&self) -> SessId {
-        SessId(self.0.fetch_add(1, Ordering::Relaxed))
+    fn next(&self) -> SessionId {
+        SessionId(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
@@ -314,7 +314,7 @@
         let top = of_query("top").map_or(u8::MAX, |t| t.clamp(0.0, 255.0) as u8);
         let title = title(&claims.path);
         let ask = Ask {
-            group: GroupNo(group as u16),
+            group: GroupIndex(group as u16),
             title: title_id(&title),
             holders: claims.holders.iter().map(|h| ServerId(*h)).collect(),
             rates: None,
@@ -336,7 +336,7 @@
             token.ok_or(Refusal::NoToken).and_then(|t| self.shared.door.own(&t, self.shared.clock.now()));
         match own {
             Ok(claims) if claims.session.to_string() == id => {
-                let id = SessId(claims.session);
+                let id = SessionId(claims.session);
                 self.shared.in_hand.fetch_add(1, Ordering::SeqCst);
                 let _ = self.shared.hub.send(News::Renew { id, to: self.inbox.clone() });
                 Begun::Waits { id, renews: true }
@@ -348,13 +348,13 @@
 }
 
 enum Begun {
-    Waits { id: SessId, renews: bool },
+    Waits { id: SessionId, renews: bool },
     Answered(Response),
 }
 
 /// A request that waits for the hub's answer.
 struct Waits {
-    id: SessId,
+    id: SessionId,
     /// It asks for a session's manifest anew.
     renews: bool,
     request: Request,
--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/answers.rs
@@ -3,8 +3,8 @@
 use super::{Node, Session, Stage};
 use crate::exchange::{ConnId, Do};
 use crate::limits;
-use walnutline::ids::{Ms, ServerId, SessId};
-use walnutline::interface::Ending;
+use walnutline::api::SetupOutcome;
+use walnutline::ids::{Ms, ServerId, SessionId};
 use walnutline_platform::fields;
 use walnutline_platform::server::{self, FromServer, Note, Report};
 use walnutline_platform::viewer;
@@ -47,29 +47,29 @@
         match said {
             FromServer::Setup { id, status, description, report } => {
                 self.reported(server, &report, now);
-                self.setup_answered(conn, server, SessId(id), status, &description, now);
+                self.setup_answered(conn, server, SessionId(id), status, &description, now);
             }
             FromServer::Tested { id, status, report } => {
                 let what = self.lines.get_mut(&conn).and_then(|l| l.tests.remove(&id));
                 self.reported(server, &report, now);
                 if what == Some(Test::Probe) {
-                    let ending = if status < 300 { Ending::Done } else { Ending::Errored };
+                    let ending = if status < 300 { SetupOutcome::Done } else { SetupOutcome::Errored };
                     self.desk.probed(server, ending, now);
                 }
             }
             FromServer::Released { id, cause, cseq, report } => {
                 self.dos.push(Do::Write { conn, bytes: server::heard(id, cseq) });
                 self.reported(server, &report, now);
-                self.released(conn, server, SessId(id), cause, now);
+                self.released(conn, server, SessionId(id), cause, now);
             }
             FromServer::Note { id, note, figure } => {
                 let here = |s: &Session| matches!(s.stage, Stage::Stands { server: at, .. } if at == server);
-                if self.sess.get(&SessId(id)).is_none_or(|s| !here(s)) {
-                    return self.early_note(SessId(id), note, figure, now);
+                if self.sess.get(&SessionId(id)).is_none_or(|s| !here(s)) {
+                    return self.early_note(SessionId(id), note, figure, now);
                 }
                 match note {
                     Note::Share => self.desk.share_heard(server, figure, now),
-                    Note::Rung => self.desk.rung_told(SessId(id), figure.clamp(0.0, 255.0) as u8),
+                    Note::Rung => self.desk.rung_told(SessionId(id), figure.clamp(0.0, 255.0) as u8),
                     Note::Link => self.desk.link_heard(server, figure, now),
                     Note::Uplink => self.desk.uplink_heard(server, figure, now),
                 }
@@ -84,14 +84,14 @@
     }
 
     /// A rung told of a session that is not known: when a node starts, it may be handed over next.
-    fn early_note(&mut self, id: SessId, note: Note, figure: f64, now: Ms) {
+    fn early_note(&mut self, id: SessionId, note: Note, figure: f64, now: Ms) {
         if note == Note::Rung && self.is_early(id, self.early_rungs.len(), now) {
             self.early_rungs.insert(id, figure.clamp(0.0, 255.0) as u8);
         }
     }
 
-    fn is_early(&self, id: SessId, kept: usize, now: Ms) -> bool {
-        let early = now - self.desk.front.born < limits::EARLY && kept < limits::EARLY_NOTES;
+    fn is_early(&self, id: SessionId, kept: usize, now: Ms) -> bool {
+        let early = now - self.desk.front.started_at < limits::EARLY && kept < limits::EARLY_NOTES;
         early && !self.sess.contains_key(&id)
     }
 
@@ -108,7 +108,7 @@
         &mut self,
         conn: ConnId,
         server: ServerId,
-        id: SessId,
+        id: SessionId,
         status: u16,
         description: &[u8],
         now: Ms,
@@ -133,10 +133,10 @@
         if status >= 300 {
             line.is_over(id);
             let ending = match status {
-                453 => Ending::BusyReplied,
-                454 => Ending::NeverSent,
-                504 => Ending::Broken,
-                _ => Ending::Errored,
+                453 => SetupOutcome::BusyReplied,
+                454 => SetupOutcome::NeverSent,
+                504 => SetupOutcome::Broken,
+                _ => SetupOutcome::Errored,
             };
             return self.setup_ended(id, ending, now);
         }
@@ -156,10 +156,10 @@
     }
 
     /// A server tells that a session is over, or that a set-up broke. It may tell so more than once.
-    fn released(&mut self, conn: ConnId, server: ServerId, id: SessId, cause: Option<u32>, now: Ms) {
+    fn released(&mut self, conn: ConnId, server: ServerId, id: SessionId, cause: Option<u32>, now: Ms) {
         match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Stands { server: at, since, .. }) if *at == server => match cause {
-                Some(fields::ENDED) => self.over(id, Ending::Done, Some(fields::ENDED), now),
+                Some(fields::ENDED) => self.over(id, SetupOutcome::Done, Some(fields::ENDED), now),
                 Some(fields::WITHDRAWN) => {
                     let after = now - since;
                     if after < limits::JUST_ANSWERED {
@@ -169,16 +169,16 @@
                         );
                         self.dos.push(Do::Log(said));
                     }
-                    self.over(id, Ending::Withdrawn, None, now);
+                    self.over(id, SetupOutcome::Withdrawn, None, now);
                 }
-                _ => self.over(id, Ending::Broken, Some(fields::CUT), now),
+                _ => self.over(id, SetupOutcome::Broken, Some(fields::CUT), now),
             },
             Some(Stage::Asked { out: Some(out), .. }) if out.line == conn => {
                 if let Some(line) = self.lines.get_mut(&conn) {
                     line.out.remove(&id);
                     line.is_over(id);
                 }
-                self.setup_ended(id, Ending::Broken, now);
+                self.setup_ended(id, SetupOutcome::Broken, now);
             }
             // It may be handed over next.
             _ if self.is_early(id, self.early_ends.len(), now) => {
--- a/crates/node/src/core/care.rs
+++ b/crates/node/src/core/care.rs
@@ -3,7 +3,7 @@
 use super::{Due, Node, Stage};
 use crate::exchange::{ConnId, Do};
 use crate::limits;
-use walnutline::fleet::Listing;
+use walnutline::fleet::ServerState;
 use walnutline::ids::Ms;
 
 impl Node {
@@ -57,7 +57,7 @@
                 self.sweep_viewers(now);
                 self.sweep_servers(now);
                 self.forget();
-                if now - self.desk.front.born > limits::EARLY {
+                if now - self.desk.front.started_at > limits::EARLY {
                     self.early_rungs.clear();
                     self.early_ends.clear();
                 }
@@ -106,7 +106,7 @@
                 let keep = match n {
                     // A release that crosses the close would be lost.
                     _ if used => Ms::INFINITY,
-                    0 if s.listing == Listing::Gone => 0.0,
+                    0 if s.listing == ServerState::Gone => 0.0,
                     0 => self.told.idle * limits::IDLE_SHARE,
                     _ => limits::SPARE_IDLE,
                 };
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -5,9 +5,9 @@
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use walnutline::fleet::{Listed, Listing};
-use walnutline::ids::{CellNo, KindNo, Ms, ServerId, SessId, ZoneNo};
-use walnutline::interface::Ending;
+use walnutline::api::SetupOutcome;
+use walnutline::fleet::{ListEntry, ServerState};
+use walnutline::ids::{CellId, KindIndex, Ms, ServerId, SessionId, ZoneIndex};
 use walnutline_desk::retry::Retry;
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::{names, ServerLine};
@@ -115,12 +115,12 @@
             there.insert(id);
             let zone = self.zone(&line.zone);
             let kind = self.told.kinds.iter().position(|k| *k == line.kind).unwrap_or(usize::MAX);
-            listed.push(Listed {
+            listed.push(ListEntry {
                 id,
                 zone,
-                kind: KindNo(u8::try_from(kind).unwrap_or(u8::MAX)),
-                cell: CellNo(line.cell),
-                listing: if line.draining { Listing::Draining } else { Listing::Ready },
+                kind: KindIndex(u8::try_from(kind).unwrap_or(u8::MAX)),
+                cell: CellId(line.cell),
+                state: if line.draining { ServerState::Draining } else { ServerState::Ready },
                 weight: line.weight,
                 started: line.started,
             });
@@ -128,7 +128,7 @@
         let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
         for id in gone {
             let Some(s) = self.servers.get_mut(&id) else { continue };
-            s.listing = Listing::Gone;
+            s.listing = ServerState::Gone;
             // With no connection left, nothing will ever tell of what stood there.
             if s.lines.is_empty() {
                 self.cut(id, now);
@@ -141,7 +141,7 @@
     /// A zone's number. One that the settings do not name is one of its own: taken for another one, what may
     /// only be repeated within a zone would be repeated elsewhere. Its number is free again once no server is
     /// left there.
-    fn zone(&mut self, name: &str) -> ZoneNo {
+    fn zone(&mut self, name: &str) -> ZoneIndex {
         let zones = &mut self.told.zones;
         let at = zones.iter().position(|z| *z == name).unwrap_or_else(|| {
             let free = (self.zones_told..zones.len()).find(|n| zones[*n].is_empty());
@@ -150,21 +150,21 @@
             zones[at] = name.to_owned();
             at
         });
-        ZoneNo(u16::try_from(at).unwrap_or(u16::MAX))
+        ZoneIndex(u16::try_from(at).unwrap_or(u16::MAX))
     }
 
     /// SETUPs that wait for a connection to a server that takes nothing new any more never leave.
     fn call_back(&mut self, now: Ms) {
-        let ready = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.listing == Listing::Ready);
+        let ready = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.listing == ServerState::Ready);
         let opening = self.lines.values_mut().filter(|l| !l.up && !ready(&l.server));
-        let waiting: Vec<SessId> = opening.flat_map(|l| std::mem::take(&mut l.out)).collect();
-        waiting.into_iter().for_each(|id| self.setup_ended(id, Ending::NeverSent, now));
+        let waiting: Vec<SessionId> = opening.flat_map(|l| std::mem::take(&mut l.out)).collect();
+        waiting.into_iter().for_each(|id| self.setup_ended(id, SetupOutcome::NeverSent, now));
     }
 
     /// The server of a line of the list, as it is told now. An id is not an address: another process, or another
     /// address under the same id, shares nothing with what was known.
     fn server_id(&mut self, line: &ServerLine, now: Ms) -> ServerId {
-        let listing = if line.draining { Listing::Draining } else { Listing::Ready };
+        let listing = if line.draining { ServerState::Draining } else { ServerState::Ready };
         if let Some(id) = self.by_name.get(&line.name).copied() {
             let Some(s) = self.servers.get_mut(&id) else { return id };
             s.listing = listing;
@@ -208,9 +208,9 @@
     /// Servers gone from the list that nothing refers to any more are forgotten.
     pub(super) fn forget(&mut self) {
         let Node { servers, by_name, desk, .. } = self;
-        let in_use: BTreeSet<ServerId> = desk.hand.sess.values().filter_map(|s| s.at).collect();
+        let in_use: BTreeSet<ServerId> = desk.hand.sessions.values().filter_map(|s| s.server).collect();
         servers.retain(|id, s| {
-            let keep = s.listing != Listing::Gone
+            let keep = s.listing != ServerState::Gone
                 || !s.lines.is_empty()
                 || !s.standing.is_empty()
                 || in_use.contains(id);
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -22,9 +22,9 @@
 use servers::{Line, Server};
 use std::collections::{BTreeMap, VecDeque};
 use viewers::Viewer;
-use walnutline::ids::{Ms, ServerId, SessId};
-use walnutline::interface::Ending;
-use walnutline::terms::{ListWay, Terms};
+use walnutline::api::SetupOutcome;
+use walnutline::ids::{Ms, ServerId, SessionId};
+use walnutline::settings::{ListDelivery, PolicySettings};
 use walnutline_desk::desk::{Action, Desk};
 use walnutline_desk::stall::Stall;
 use walnutline_desk::timers::Timers;
@@ -73,7 +73,7 @@
 
 #[derive(Debug)]
 enum Due {
-    Setup { id: SessId, no: u32 },
+    Setup { id: SessionId, no: u32 },
     Connecting { conn: ConnId },
     Test { conn: ConnId, id: u64 },
     Reconnect { server: ServerId },
@@ -87,7 +87,7 @@
     told: Configuration,
     /// Zones that the settings name; further ones come with the list.
     zones_told: usize,
-    sess: BTreeMap<SessId, Session>,
+    sess: BTreeMap<SessionId, Session>,
     viewers: BTreeMap<ConnId, Viewer>,
     most_viewers: usize,
     most_lines: usize,
@@ -99,8 +99,8 @@
     owed: VecDeque<Owed>,
     /// What servers told of sessions before these were handed over, their rungs or their ends: the two come
     /// by different ways.
-    early_rungs: BTreeMap<SessId, u8>,
-    early_ends: BTreeMap<SessId, (ServerId, Option<u32>)>,
+    early_rungs: BTreeMap<SessionId, u8>,
+    early_ends: BTreeMap<SessionId, (ServerId, Option<u32>)>,
     names: Names,
     timers: Timers<Due>,
     stall: Stall,
@@ -119,12 +119,12 @@
 impl Node {
     /// A node with the list that its configuration holds; connections to those servers are opened at once.
     pub fn new(told: Configuration, now: Ms) -> Result<Node, String> {
-        let mut terms = Terms::parse(&told.terms).map_err(|e| format!("settings: {e}"))?;
+        let mut terms = PolicySettings::parse(&told.terms).map_err(|e| format!("settings: {e}"))?;
         // Changes come here with the answers to questions only, whatever the settings say of a list.
-        terms.list = ListWay::Asked { grace: terms.drain_grace };
+        terms.list_delivery = ListDelivery::Polled { grace: terms.drain_grace };
         // Each node sends its share: as many as either tells.
-        terms.fronts = terms.fronts.max(u32::try_from(told.peers.len()).unwrap_or(u32::MAX));
-        terms.may_tell &= told.peers_all.is_some() && told.peer_listen.is_some();
+        terms.front_count = terms.front_count.max(u32::try_from(told.peers.len()).unwrap_or(u32::MAX));
+        terms.peer_messages_allowed &= told.peers_all.is_some() && told.peer_listen.is_some();
         let servers = told.servers.clone();
         let most_viewers = limits::viewers(told.sockets, servers.len());
         let mut node = Node {
@@ -225,7 +225,7 @@
     }
 
     /// The final answer of a session that does not play.
-    fn answer(&mut self, id: SessId, bytes: Vec<u8>) {
+    fn answer(&mut self, id: SessionId, bytes: Vec<u8>) {
         if let Some(Session { stage: Stage::Asked { from, .. }, .. }) = self.sess.remove(&id) {
             self.ledger.answered += 1;
             if let Some(v) = self.viewers.get_mut(&from) {
@@ -236,7 +236,7 @@
     }
 
     /// How the SETUP of a session ended that is out no more.
-    fn setup_ended(&mut self, id: SessId, ending: Ending, now: Ms) {
+    fn setup_ended(&mut self, id: SessionId, ending: SetupOutcome, now: Ms) {
         if let Some(Session { stage: Stage::Asked { out, .. }, .. }) = self.sess.get_mut(&id) {
             *out = None;
             self.desk.ended(id, ending, false, now, &mut self.actions);
@@ -244,7 +244,7 @@
     }
 
     /// A session that stood is over; its viewer is told the cause where one is owed.
-    fn over(&mut self, id: SessId, ending: Ending, cause: Option<u32>, now: Ms) {
+    fn over(&mut self, id: SessionId, ending: SetupOutcome, cause: Option<u32>, now: Ms) {
         let Some(Session { stage: Stage::Stands { from, server, .. }, .. }) = self.sess.remove(&id) else {
             return;
         };
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -2,18 +2,24 @@
 use super::Node;
 use crate::exchange::Do;
 use std::net::SocketAddr;
-use walnutline::fleet::Listing;
+use walnutline::api::PeerReport;
+use walnutline::fleet::ServerState;
 use walnutline::ids::{Ms, ServerId};
-use walnutline::interface::News;
 use walnutline_platform::peers::{self, Entry};
 
 impl Node {
-    pub(super) fn tell(&mut self, news: &[News], now: Ms) {
+    pub(super) fn tell(&mut self, news: &[PeerReport], now: Ms) {
         let Some(to) = self.told.peers_all else { return };
-        let entry = |n: &News| {
+        let entry = |n: &PeerReport| {
             let s = self.servers.get(&n.server)?;
             let since = (now - s.process).max(0.0);
-            Some(Entry { server: peers::hash(&s.name), age: n.age, streams: n.streams, link: n.link, since })
+            Some(Entry {
+                server: peers::hash(&s.name),
+                age: n.age,
+                streams: n.stream_use,
+                link: n.link_use,
+                since,
+            })
         };
         let entries: Vec<Entry> = news.iter().filter_map(entry).collect();
         self.dos.push(Do::Tell { to, bytes: peers::write(&entries) });
@@ -27,22 +33,22 @@
         }
         let Some(entries) = peers::read(bytes) else { return };
         let mut by_hash: Vec<(u32, ServerId)> = Vec::with_capacity(self.servers.len());
-        let there = self.servers.iter().filter(|(_, s)| s.listing != Listing::Gone);
+        let there = self.servers.iter().filter(|(_, s)| s.listing != ServerState::Gone);
         by_hash.extend(there.map(|(id, s)| (peers::hash(&s.name), *id)));
         by_hash.sort_unstable();
         let news = |e: &Entry| {
             let first = by_hash.partition_point(|(hash, _)| *hash < e.server);
             let (hash, server) = *by_hash.get(first)?;
             let two = by_hash.get(first + 1).is_some_and(|(next, _)| *next == e.server);
-            (hash == e.server && !two).then_some(News {
+            (hash == e.server && !two).then_some(PeerReport {
                 server,
-                streams: e.streams,
-                link: e.link,
+                stream_use: e.streams,
+                link_use: e.link,
                 age: e.age,
-                since: e.since,
+                process_age: e.since,
             })
         };
-        let news: Vec<News> = entries.iter().filter_map(news).collect();
+        let news: Vec<PeerReport> = entries.iter().filter_map(news).collect();
         // A server that answered another node is there. Guards against each node testing each server where something
         // stands: tests are priced and take a server's time as probes do.
         for n in &news {
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -4,9 +4,9 @@
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use walnutline::fleet::Listing;
-use walnutline::ids::{Ms, ServerId, SessId};
-use walnutline::interface::Ending;
+use walnutline::api::SetupOutcome;
+use walnutline::fleet::ServerState;
+use walnutline::ids::{Ms, ServerId, SessionId};
 use walnutline_desk::retry::Retry;
 use walnutline_platform::fields;
 use walnutline_platform::frame::Reader;
@@ -15,13 +15,13 @@
 pub(super) struct Server {
     pub name: String,
     pub address: SocketAddr,
-    pub listing: Listing,
+    pub listing: ServerState,
     pub started: Option<Ms>,
     pub lines: Vec<ConnId>,
     /// Sessions that stand there.
-    pub standing: BTreeSet<SessId>,
+    pub standing: BTreeSet<SessionId>,
     /// Messages on sessions there that wait for a connection: the last one of each.
-    pub unsent: BTreeMap<SessId, Unsent>,
+    pub unsent: BTreeMap<SessionId, Unsent>,
     /// When it last said something, here or to another node.
     pub heard: Ms,
     /// When it last said something here.
@@ -60,14 +60,14 @@
     pub reader: Reader,
     pub partial: Option<Ms>,
     /// SETUPs that are out on it, or wait for it to open.
-    pub out: BTreeSet<SessId>,
+    pub out: BTreeSet<SessionId>,
     pub tests: BTreeMap<u64, Test>,
     /// Tests that wait for it to open.
     pub probes: u32,
     /// Set-ups that are over, given up or refused: a good answer that still comes is released.
-    pub given_up: VecDeque<SessId>,
+    pub given_up: VecDeque<SessionId>,
     /// Releases written on it that were not heard: what is lost with it is sent again.
-    pub releases: VecDeque<(Ms, SessId)>,
+    pub releases: VecDeque<(Ms, SessionId)>,
     /// When it began to be opened.
     pub opened: Ms,
     pub used: Ms,
@@ -82,7 +82,7 @@
     }
 
     /// Releases that were not heard on a connection that is over go out on the next one.
-    fn keep_unheard(&mut self, releases: VecDeque<(Ms, SessId)>, now: Ms) {
+    fn keep_unheard(&mut self, releases: VecDeque<(Ms, SessionId)>, now: Ms) {
         for (_, id) in releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_KEPT) {
             self.unsent.entry(id).or_insert(Unsent::Release);
         }
@@ -90,7 +90,7 @@
 }
 
 impl Line {
-    pub fn is_over(&mut self, id: SessId) {
+    pub fn is_over(&mut self, id: SessionId) {
         if self.given_up.len() >= limits::GIVEN_UP {
             self.given_up.pop_front();
         }
@@ -157,7 +157,7 @@
 
     /// Sees to it that a server has a connection, or one that is being opened.
     pub(super) fn keep_up(&mut self, server: ServerId, now: Ms) {
-        if self.servers.get(&server).is_some_and(|s| s.lines.is_empty() && s.listing != Listing::Gone) {
+        if self.servers.get(&server).is_some_and(|s| s.lines.is_empty() && s.listing != ServerState::Gone) {
             self.connect(server, now);
         }
     }
@@ -221,7 +221,7 @@
         // and says nothing on an old one is gone as well. One that is gone from the list is not asked again: its
         // address may be another's.
         let silent = now - s.heard > limits::TEST_AFTER && s.fails > 0 && end != End::Unopened;
-        let gone = s.listing == Listing::Gone && s.lines.is_empty();
+        let gone = s.listing == ServerState::Gone && s.lines.is_empty();
         let others = s.lines.iter().any(|c| self.lines.get(c).is_some_and(|l| l.up));
         if end == End::Refused && !others {
             s.unsent.clear();
@@ -238,14 +238,14 @@
             }
         }
         let ending = match (line.up, end) {
-            (true, _) => Ending::Broken,
-            (false, End::Unopened) => Ending::NeverSent,
-            (false, _) => Ending::NoConnection,
+            (true, _) => SetupOutcome::Broken,
+            (false, End::Unopened) => SetupOutcome::NeverSent,
+            (false, _) => SetupOutcome::NoConnection,
         };
         for id in line.out {
             let written = matches!(self.sess.get(&id).map(|s| &s.stage),
                 Some(Stage::Asked { out: Some(out), .. }) if out.written);
-            self.setup_ended(id, if line.up && !written { Ending::NeverSent } else { ending }, now);
+            self.setup_ended(id, if line.up && !written { SetupOutcome::NeverSent } else { ending }, now);
         }
         let probes = line.tests.values().filter(|t| **t == Test::Probe).count() as u32 + line.probes;
         (0..probes).for_each(|_| self.desk.probed(server, ending, now));
@@ -260,11 +260,11 @@
     pub(super) fn cut_before(&mut self, server: ServerId, then: Ms, now: Ms) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         let sess = &self.sess;
-        let old = |id: &SessId| match sess.get(id).map(|s| &s.stage) {
+        let old = |id: &SessionId| match sess.get(id).map(|s| &s.stage) {
             Some(Stage::Stands { since, .. }) => *since < then,
             _ => true,
         };
-        let standing: Vec<SessId> = s.standing.iter().copied().filter(old).collect();
+        let standing: Vec<SessionId> = s.standing.iter().copied().filter(old).collect();
         for id in &standing {
             s.standing.remove(id);
             s.unsent.remove(id);
@@ -272,17 +272,17 @@
         if !standing.is_empty() {
             self.dos.push(Do::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
         }
-        standing.into_iter().for_each(|id| self.over(id, Ending::Broken, Some(fields::CUT), now));
+        standing.into_iter().for_each(|id| self.over(id, SetupOutcome::Broken, Some(fields::CUT), now));
     }
 
     // ---- what goes out ----
 
-    pub(super) fn setup(&mut self, id: SessId, server: ServerId, timeout: Ms, now: Ms) {
+    pub(super) fn setup(&mut self, id: SessionId, server: ServerId, timeout: Ms, now: Ms) {
         let Some(sess) = self.sess.get_mut(&id) else { return };
         let Stage::Asked { out, .. } = &mut sess.stage else { return };
         debug_assert!(out.is_none(), "two SETUPs out for {id:?}");
         let Some(s) = self.servers.get(&server) else {
-            return self.setup_ended(id, Ending::NoConnection, now);
+            return self.setup_ended(id, SetupOutcome::NoConnection, now);
         };
         // One with nothing out on it, else a new one, else the one with least.
         let load = |c: &ConnId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
@@ -295,7 +295,7 @@
         let room = best.is_none() || s.lines.len() < limits::LINES && self.lines.len() < self.most_lines;
         let Some(conn) = free.or_else(|| if room { self.connect(server, now) } else { best }) else {
             // No room here: that is not the server's fault.
-            return self.setup_ended(id, Ending::NeverSent, now);
+            return self.setup_ended(id, SetupOutcome::NeverSent, now);
         };
         let Some(sess) = self.sess.get_mut(&id) else { return };
         sess.setups += 1;
@@ -314,7 +314,7 @@
     }
 
     /// A SETUP is ready to go out. What is still unheard of its viewer comes first: it may have gone.
-    fn ready_setup(&mut self, id: SessId) {
+    fn ready_setup(&mut self, id: SessionId) {
         if let Some(Stage::Asked { out: Some(out), .. }) = self.sess.get(&id).map(|s| &s.stage) {
             self.dos.push(Do::Setup { id, no: out.no });
         }
@@ -322,7 +322,7 @@
 
     /// The viewer's connection that an offered SETUP is for now, as it may have asked again on another one,
     /// and the server's connection; `None` where it is not wanted any more.
-    pub fn offered(&self, id: SessId, no: u32) -> Option<(ConnId, ConnId)> {
+    pub fn offered(&self, id: SessionId, no: u32) -> Option<(ConnId, ConnId)> {
         match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Asked { from, out: Some(out), .. }) if out.no == no && !out.written => {
                 Some((*from, out.line))
@@ -333,8 +333,8 @@
 
     /// The bytes of a SETUP that goes out now, with the rung that the module has set and the time that is
     /// left of its time-out; `None` where it is not wanted any more.
-    pub fn send_setup(&mut self, id: SessId, no: u32, now: Ms) -> Option<Vec<u8>> {
-        let rung = self.desk.hand.sess.get(&id).map_or(0, |s| s.rung);
+    pub fn send_setup(&mut self, id: SessionId, no: u32, now: Ms) -> Option<Vec<u8>> {
+        let rung = self.desk.hand.sessions.get(&id).map_or(0, |s| s.rung);
         let sess = self.sess.get_mut(&id)?;
         let Stage::Asked { wanted, out: Some(out), .. } = &mut sess.stage else { return None };
         if out.no != no || out.written || now >= sess.until {
@@ -346,19 +346,19 @@
     }
 
     /// The connection of a SETUP takes nothing now: it never left, and another server may be asked.
-    pub fn setup_stuck(&mut self, id: SessId, no: u32, now: Ms) {
+    pub fn setup_stuck(&mut self, id: SessionId, no: u32, now: Ms) {
         if let Some(Stage::Asked { out: Some(out), .. }) = self.sess.get(&id).map(|s| &s.stage) {
             let out = *out;
             if out.no == no && !out.written {
                 self.give_up(id, out);
-                self.setup_ended(id, Ending::NeverSent, now);
+                self.setup_ended(id, SetupOutcome::NeverSent, now);
                 self.settle(now);
             }
         }
     }
 
     /// A SETUP whose time is over.
-    pub(super) fn setup_due(&mut self, id: SessId, no: u32, now: Ms) {
+    pub(super) fn setup_due(&mut self, id: SessionId, no: u32, now: Ms) {
         let out = match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Asked { out: Some(out), .. }) if out.no == no => *out,
             _ => return,
@@ -366,16 +366,16 @@
         self.give_up(id, out);
         let up = self.lines.get(&out.line).is_some_and(|l| l.up);
         let ending = match out.written {
-            true => Ending::TimedOut,
+            true => SetupOutcome::TimedOut,
             // Held back here: that is not the server's fault.
-            false if up => Ending::NeverSent,
-            false => Ending::NoConnection,
+            false if up => SetupOutcome::NeverSent,
+            false => SetupOutcome::NoConnection,
         };
         self.setup_ended(id, ending, now);
     }
 
     /// Tells the server that a SETUP is no longer waited for.
-    pub(super) fn give_up(&mut self, id: SessId, out: Out) {
+    pub(super) fn give_up(&mut self, id: SessionId, out: Out) {
         let Some(line) = self.lines.get_mut(&out.line) else { return };
         line.out.remove(&id);
         if out.written {
@@ -385,7 +385,7 @@
     }
 
     /// A message on a session that stands, on any connection to its server.
-    pub(super) fn tell_server(&mut self, server: ServerId, id: SessId, what: Unsent, now: Ms) {
+    pub(super) fn tell_server(&mut self, server: ServerId, id: SessionId, what: Unsent, now: Ms) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         let up = s.lines.iter().find(|c| self.lines.get(c).is_some_and(|l| l.up)).copied();
         match up {
@@ -397,7 +397,7 @@
         }
     }
 
-    pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessId, what: Unsent, now: Ms) {
+    pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessionId, what: Unsent, now: Ms) {
         let bytes = match what {
             Unsent::Rung(rung) => server::rung(id.0, rung),
             Unsent::Release => server::release(id.0, fields::WITHDRAWN),
@@ -410,7 +410,7 @@
         self.dos.push(Do::Write { conn, bytes });
     }
 
-    pub(super) fn rung(&mut self, id: SessId, rung: u8) {
+    pub(super) fn rung(&mut self, id: SessionId, rung: u8) {
         let Some(Stage::Stands { server, .. }) = self.sess.get(&id).map(|s| &s.stage) else { return };
         let (server, now) = (*server, self.clock);
         self.tell_server(server, id, Unsent::Rung(rung), now);
@@ -448,7 +448,7 @@
         let Some(line) = self.lines.get_mut(&conn) else { return };
         let server = line.server;
         match line.tests.remove(&id) {
-            Some(Test::Probe) => self.desk.probed(server, Ending::TimedOut, now),
+            Some(Test::Probe) => self.desk.probed(server, SetupOutcome::TimedOut, now),
             Some(Test::There)
                 if self.servers.get(&server).is_some_and(|s| now - s.heard > limits::TEST_AFTER) =>
             {
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -4,8 +4,8 @@
 use crate::exchange::{ConnId, Do};
 use crate::limits;
 use std::collections::{BTreeSet, VecDeque};
-use walnutline::ids::{CellNo, GroupNo, Ms, SessId, TitleId};
-use walnutline::interface::{Ending, Holders, Request};
+use walnutline::api::{Holders, Request, SetupOutcome};
+use walnutline::ids::{CellId, GroupIndex, Ms, SessionId, TitleId};
 use walnutline_platform::fields;
 use walnutline_platform::frame::Reader;
 use walnutline_platform::viewer::{self, Fault, FromViewer, Wanted};
@@ -23,7 +23,7 @@
     /// When it last turned out that it can't be closed yet.
     pub stays: Ms,
     /// Set-ups whose answers are owed here.
-    pub open: BTreeSet<SessId>,
+    pub open: BTreeSet<SessionId>,
     /// Releases written on it that were not heard: what is lost with it is told again.
     pub releases: VecDeque<Owed>,
 }
@@ -141,7 +141,7 @@
                     self.ledger.taken += u64::from(asks);
                     self.ledger.answered += u64::from(asks);
                     // Told without its id where that is another request's, which this is no answer to.
-                    let id = (!self.sess.contains_key(&SessId(id))).then_some(id);
+                    let id = (!self.sess.contains_key(&SessionId(id))).then_some(id);
                     self.refuse(conn, &Fault { id, cseq: Some(1), why: why.into() }, status);
                 }
             }
@@ -168,13 +168,13 @@
         if !in_range {
             return Err(("figures", 400));
         }
-        let id = SessId(w.id);
+        let id = SessionId(w.id);
         let request = Request {
-            group: GroupNo(group as u16),
+            group: GroupIndex(group as u16),
             title: TitleId(w.title),
-            holders: Holders::Cells { home: CellNo(d.home), span: d.copies },
-            rates: None,
-            top: d.top,
+            holders: Holders::Cells { first: CellId(d.home), count: d.copies },
+            rates_kb_per_s: None,
+            highest_rung: d.top,
             // What passed since it was read counts against its viewer's time.
             left: w.limit - (now - at),
         };
@@ -207,7 +207,7 @@
     /// A set-up under an id that is in hand. The same one on another connection is that of a viewer whose
     /// first connection ended before it was answered: its answer goes where it asked last. Anything else is
     /// another's.
-    fn asked_again(&mut self, conn: ConnId, id: SessId, w: &Wanted) -> Result<(), (&'static str, u16)> {
+    fn asked_again(&mut self, conn: ConnId, id: SessionId, w: &Wanted) -> Result<(), (&'static str, u16)> {
         let stage = self.sess.get_mut(&id).map(|s| &mut s.stage);
         let Some(Stage::Asked { from, wanted, .. }) = stage else {
             return Err(("id of another request", 400));
@@ -232,7 +232,7 @@
     fn handed_over(
         &mut self,
         conn: ConnId,
-        id: SessId,
+        id: SessionId,
         server: Option<walnutline::ids::ServerId>,
         request: Request,
         now: Ms,
@@ -269,7 +269,7 @@
 
     /// A viewer gives a set-up up, or ends its session.
     fn teardown(&mut self, conn: ConnId, id: u64, cseq: Option<u32>, now: Ms) {
-        let sess = SessId(id);
+        let sess = SessionId(id);
         let status = match self.sess.get(&sess).map(|s| &s.stage) {
             Some(Stage::Asked { from, .. }) if *from == conn => {
                 if let Some(v) = self.viewers.get_mut(&conn) {
@@ -281,7 +281,7 @@
             Some(Stage::Stands { server, .. }) => {
                 let server = *server;
                 self.tell_server(server, sess, Unsent::Release, now);
-                self.over(sess, Ending::Withdrawn, None, now);
+                self.over(sess, SetupOutcome::Withdrawn, None, now);
                 200
             }
             _ => 454,
@@ -290,13 +290,13 @@
     }
 
     /// No answer is owed any more: its SETUP, if one is out, is given up.
-    pub(super) fn left(&mut self, id: SessId, now: Ms) {
+    pub(super) fn left(&mut self, id: SessionId, now: Ms) {
         let Some(Session { stage: Stage::Asked { out, .. }, .. }) = self.sess.remove(&id) else { return };
         self.ledger.given_up += 1;
         self.desk.left(id);
         if let Some(out) = out {
             self.give_up(id, out);
-            let ending = if out.written { Ending::Withdrawn } else { Ending::NeverSent };
+            let ending = if out.written { SetupOutcome::Withdrawn } else { SetupOutcome::NeverSent };
             self.desk.ended(id, ending, true, now, &mut self.actions);
         }
     }
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -12,7 +12,7 @@
 use std::net::{Shutdown, SocketAddr};
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
-use walnutline::ids::{Ms, SessId};
+use walnutline::ids::{Ms, SessionId};
 use walnutline_platform::{names, peers};
 
 /// How soon bytes that a socket did not take, or a SETUP that is held back, are tried again, in milliseconds.
@@ -32,7 +32,7 @@
 
 /// A SETUP that is held back while something of its viewer is unheard.
 struct Held {
-    id: SessId,
+    id: SessionId,
     no: u32,
     since: Ms,
 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -1,6 +1,6 @@
 //! What the core tells its edge to do, and what connections are called between them.
 use std::net::SocketAddr;
-use walnutline::ids::SessId;
+use walnutline::ids::SessionId;
 
 /// One TCP connection; numbers are never used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,7 +20,7 @@
     /// where it goes by then, [`crate::core::Node::send_setup`] makes it, and
     /// [`crate::core::Node::setup_stuck`] is told that the connection takes nothing now.
     Setup {
-        id: SessId,
+        id: SessionId,
         no: u32,
     },
     /// After what was written; nothing more of it is told or taken.
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -45,7 +45,7 @@
     w.says(server, note);
     w.says(viewer, &at(9));
     assert_eq!(w.find("RTSP/1.0 4"), None, "no answer is wanted");
-    let held: Vec<(u8, bool)> = w.node.desk.hand.sess.values().map(|s| (s.rung, s.playing)).collect();
+    let held: Vec<(u8, bool)> = w.node.desk.hand.sessions.values().map(|s| (s.rung, s.playing)).collect();
     assert_eq!(held, [(0, true), (3, true)]);
     w.says(server, &release(9, 16));
     assert_eq!(w.find("cause=16").unwrap().0, viewer);
@@ -106,7 +106,7 @@
     w.pass(30.0);
     let withdrawn: String = (1..=100).map(up).collect();
     w.says(viewer, &withdrawn);
-    assert_eq!(w.node.desk.hand.sess.len(), 0);
+    assert_eq!(w.node.desk.hand.sessions.len(), 0);
     w.out.clear();
     w.pass(1_000.0);
     assert_eq!(w.find("SETUP"), None);
@@ -270,11 +270,11 @@
     let note =
         "ANNOUNCE rtsp://media/x RTSP/1.0\r\nCSeq: 4\r\nSession: 0000000000000001\r\nX-Why: quality\r\n\
                 Figure: 1\r\nContent-Length: 0\r\n\r\n";
-    let died = |w: &mut World| w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died.is_some();
+    let died = |w: &mut World| w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at.is_some();
     // Silent for so long that new connections are tried, which do not open.
     w.pass(limits::TEST_AFTER + limits::TEST_WAIT + 400.0);
     let second = w.connecting.pop().expect("a new connection");
-    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died = Some(w.now);
+    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     w.ends(second, End::Closed);
     w.says(server, note);
     assert!(died(&mut w), "may have been on its way");
@@ -286,7 +286,7 @@
     w.setup_of(2);
     w.says(server, &reply(200, 2, ""));
     w.ends(server, End::Closed);
-    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died = Some(w.now);
+    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     let next = w.connecting.pop().expect("opened anew");
     w.node.connected(next, w.now);
     assert!(!died(&mut w), "one that ends is not back at once");
@@ -304,7 +304,7 @@
 /// the settings tell of fewer or of none.
 #[test]
 fn as_many_share_a_cold_server_as_either_tells_of() {
-    let fronts = |document: &str| World::with(document).node.desk.front.terms.fronts;
+    let fronts = |document: &str| World::with(document).node.desk.front.settings.front_count;
     let peers: Vec<String> = (1..=30).map(|n| format!("\"127.0.0.{n}:7946\"")).collect();
     let many = with_peers().replace(&format!("\"{PEER}\""), &peers.join(","));
     assert_eq!((fronts(NODE), fronts(&with_peers())), (2, 2));
@@ -323,14 +323,14 @@
     let id = *w.node.desk.front.fleet.servers.keys().next().unwrap();
     w.pass(limits::SAME_PROCESS * 1.5);
     w.ends(server, End::Closed);
-    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died = Some(w.now);
+    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     let entry = |server| Entry { server: hash(server), age: 20.0, streams: 0.5, link: 0.44, since: 0.0 };
     w.pass(50.0);
     w.node.peer(PEER.parse().unwrap(), &write(&[entry("s-00000001"), entry("s-00000002")]), w.now);
     w.run();
     let next = w.connecting.pop().expect("opened anew");
     w.node.connected(next, w.now);
-    assert!(w.node.desk.front.fleet.servers[&id].died.is_some());
+    assert!(w.node.desk.front.fleet.servers[&id].died_at.is_some());
 }
 
 /// Guards against 300 nodes that each test a server every two seconds: ten tests for each probe on a calm day.
@@ -352,7 +352,7 @@
         }
         assert_eq!(w.find("rtsp://media/ping").is_some(), tested, "{from}");
         let heard =
-            w.node.desk.front.fleet.servers.values().filter(|s| s.link.is_some_and(|l| l.value > 0.4));
+            w.node.desk.front.fleet.servers.values().filter(|s| s.link_use.is_some_and(|l| l.value > 0.4));
         assert_eq!(heard.count(), if tested { 0 } else { 2 }, "{from}");
     }
 }
@@ -548,7 +548,7 @@
     }
     assert!(w.find("RTSP/1.0 503").is_some(), "{:?}", w.out);
     let servers = &w.node.desk.front.fleet.servers;
-    assert!(servers.values().all(|s| s.fails == 0 && s.died.is_none()), "{servers:?}");
+    assert!(servers.values().all(|s| s.failures == 0 && s.died_at.is_none()), "{servers:?}");
 }
 
 /// A server that does not read: nothing is left behind on the way to it, and another one is asked.
@@ -877,7 +877,7 @@
             w.pass(10.0);
             account(&mut w, &mut seen)?;
         }
-        let owed = w.node.desk.hand.sess.values().filter(|s| !s.answered).count();
+        let owed = w.node.desk.hand.sessions.values().filter(|s| !s.answered).count();
         prop_assert_eq!(owed, 0);
     }
 }
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -30,7 +30,7 @@
 #[test]
 fn lists_of_350_nodes_and_400_servers_are_taken() {
     let mut w = World::with(&told());
-    assert_eq!(w.node.desk.front.terms.fronts as usize, NODES);
+    assert_eq!(w.node.desk.front.settings.front_count as usize, NODES);
     w.pass(500.0);
     let (names, question) = w.queries.last().unwrap().clone();
     let ids: Vec<String> = (0..SERVERS).map(|n| format!("s-{n:08x}.depot-a.hosts")).collect();
@@ -52,7 +52,7 @@
     }
     let entry = Entry { server: peers::hash(LAST), age: 100.0, streams: 0.5, link: 0.5, since: 1_000.0 };
     let news = peers::write(&[entry]);
-    let heard = |w: &World| w.node.desk.front.fleet.servers.values().filter(|s| s.link.is_some()).count();
+    let heard = |w: &World| w.node.desk.front.fleet.servers.values().filter(|s| s.link_use.is_some()).count();
     let before = heard(&w);
     w.node.peer("10.9.9.9:7946".parse().unwrap(), &news, w.now);
     assert_eq!(heard(&w), before, "a stranger");
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -3,7 +3,7 @@
 use simple_dns::rdata::{RData, A, SOA, SRV, TXT};
 use simple_dns::{Name, Packet, PacketFlag, Question, ResourceRecord, CLASS, QCLASS, QTYPE, RCODE, TYPE};
 use test_case::test_case;
-use walnutline::terms::Terms;
+use walnutline::settings::PolicySettings;
 use walnutline_platform::frame::{Bad, Reader, LONGEST};
 use walnutline_platform::names::{self, Bad as BadNames};
 use walnutline_platform::server::{self, FromServer};
@@ -201,7 +201,7 @@
         limits.max_retry_after=1000.0\nlimits.probes=true\nlimits.retry_after=true\n\
         reporting.columns=inflight,x0\nreporting.via=pull\nsafety.cold=12000.0\nsafety.cold_from=0.4\n\
         safety.drain_grace=250.0\nsafety.tip_after=1000.0\nsafety.tip_multiple=2.0\n";
-    let terms = |text: &str| format!("{:?}", Terms::parse(text).unwrap());
+    let terms = |text: &str| format!("{:?}", PolicySettings::parse(text).unwrap());
     assert_eq!(terms(&told.terms), terms(lines));
     assert_eq!(
         told.servers.iter().map(|s| s.name.as_str()).collect::<Vec<_>>(),
@@ -223,7 +223,7 @@
     };
     let all: Vec<Entry> = (0..MOST + 5).map(one).collect();
     let bytes = write(&all);
-    assert!(bytes.len() <= LONGEST && MOST >= walnutline::interface::NEWS_A_MESSAGE);
+    assert!(bytes.len() <= LONGEST && MOST >= walnutline::api::PEER_REPORTS_PER_MESSAGE);
     assert_eq!(read(&bytes).unwrap(), all[..MOST]);
     // Cut short, with bytes to spare, of another version: nothing is told.
     assert!((0..bytes.len()).all(|n| read(&bytes[..n]).is_none()));
--- a/crates/rehearsal/src/catalogue.rs
+++ b/crates/rehearsal/src/catalogue.rs
@@ -6,7 +6,7 @@
 use crate::viewers::Title;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change;
 use walnutline_catalogue::packed::Packed;
 use walnutline_catalogue::version::{BoxOf, Builder};
@@ -37,7 +37,7 @@
         let groups = crate::deployment::terms().groups.into_iter().map(|g| g.name).collect();
         let mut b = Builder::new(1, groups, None)?;
         for n in 0..script.boxes {
-            b.tell(BoxOf { server: ServerId(n), gone: false, rack: Some(RackNo(n % script.racks)) });
+            b.tell(BoxOf { server: ServerId(n), gone: false, rack: Some(RackId(n % script.racks)) });
         }
         for t in titles {
             let mut holders: Vec<ServerId> = t.holders.iter().copied().map(ServerId).collect();
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use walnutline::ids::Ms;
-use walnutline::terms::{
-    Budget, ColdTerms, Column, Group as TermsGroup, ListWay, Repeat, Scope, Terms, Weights,
+use walnutline::settings::{
+    ColdStartSettings, KeyScope, ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, RetryBudget,
+    ServiceGroup as TermsGroup, WeightKind,
 };
 use walnutline_catalogue::news::Price;
 use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
@@ -78,53 +79,53 @@
         }
     };
     let columns = d.reports.columns.iter().map(|c| match c.value.as_str() {
-        "streams" => Column::Streams,
-        "link" => Column::Link,
-        "uplink" => Column::Uplink,
+        "streams" => ReportColumn::Streams,
+        "link" => ReportColumn::Link,
+        "uplink" => ReportColumn::Uplink,
         other => {
             f.tell(c.at, format!("columns: {other:?} is none of streams, link, uplink"));
-            Column::Other
+            ReportColumn::Other
         }
     });
     let columns = columns.collect();
-    let budget = d.setups.budget.as_ref().map(|b| Budget {
-        free: f.whole(b.free, "free", 0.0, 1e6),
-        share: f.within(b.share, "share", 0.0, 100.0),
+    let budget = d.setups.budget.as_ref().map(|b| RetryBudget {
+        free_retries: f.whole(b.free, "free", 0.0, 1e6),
+        retries_per_request: f.within(b.share, "share", 0.0, 100.0),
         span: f.time(b.span, "span"),
     });
-    let cold = d.cold.as_ref().map(|c| ColdTerms {
-        lasts: f.time(c.lasts, "lasts"),
-        from: f.within(c.from, "from", 0.0, 1.0),
-        multiple: f.within(c.multiple, "multiple", 0.01, 1e3),
+    let cold = d.cold.as_ref().map(|c| ColdStartSettings {
+        duration: f.time(c.lasts, "lasts"),
+        initial_share: f.within(c.from, "from", 0.0, 1.0),
+        rate_multiple: f.within(c.multiple, "multiple", 0.01, 1e3),
         span: f.time(c.span, "span"),
-        reach: f.time(d.waits.connect, "connect"),
+        connect_timeout: f.time(d.waits.connect, "connect"),
     });
-    let terms = Terms {
-        fronts: f.whole(d.fronts, "fronts", 1.0, 1e6) as u32,
-        groups,
-        rung_kb: rungs.iter().map(|r| f.within(r.kb, "kb", 0.001, 1e9)).collect(),
+    let terms = PolicySettings {
+        front_count: f.whole(d.fronts, "fronts", 1.0, 1e6) as u32,
+        service_groups: groups,
+        rung_kb_per_s: rungs.iter().map(|r| f.within(r.kb, "kb", 0.001, 1e9)).collect(),
         rung_utility: rungs.iter().map(|r| f.within(r.utility, "utility", 0.0, 1e6)).collect(),
         // The live list tells each box's rack, and requests name boxes: a cell is a rack.
-        cells: u32::MAX,
-        racks: u32::MAX,
-        kind_streams: d.kinds.iter().map(|k| f.whole(k.streams, "streams", 1.0, 1e7)).collect(),
-        weights: Weights::Size,
-        link_kb_per_weight: f.within(d.links.link_kb, "link-kb", 0.001, 1e12),
-        uplink_kb: f.within(d.links.uplink_kb, "uplink-kb", 0.001, 1e12),
-        change_cost: 0.0,
+        cell_count: u32::MAX,
+        rack_count: u32::MAX,
+        max_streams_by_kind: d.kinds.iter().map(|k| f.whole(k.streams, "streams", 1.0, 1e7)).collect(),
+        weight_kind: WeightKind::Capacity,
+        link_kb_per_s_per_weight: f.within(d.links.link_kb, "link-kb", 0.001, 1e12),
+        uplink_kb_per_s: f.within(d.links.uplink_kb, "uplink-kb", 0.001, 1e12),
+        rung_change_cost: 0.0,
         // The live list is a stream of events.
-        list: ListWay::Pushed,
+        list_delivery: ListDelivery::Pushed,
         drain_grace: f64::INFINITY,
-        share_delay: f.within(d.reports.delay, "delay", 0.0, 60_000.0),
-        columns,
-        probe_fed: via == "probe",
-        may_probe: true,
+        measurement_delay: f.within(d.reports.delay, "delay", 0.0, 60_000.0),
+        report_columns: columns,
+        reports_by_probe: via == "probe",
+        probes_allowed: true,
         probe_cost: 0.0,
-        may_tell: false,
-        come_back: d.come_back.as_ref().map(|c| f.within(c.most, "most", 0.0, 3_600_000.0)),
+        peer_messages_allowed: false,
+        max_retry_after: d.come_back.as_ref().map(|c| f.within(c.most, "most", 0.0, 3_600_000.0)),
         max_setups: f.whole(d.setups.most, "most", 1.0, 100.0) as u16,
-        budget,
-        cold,
+        retry_budget: budget,
+        cold_start: cold,
     };
     let v = &d.viewers;
     let viewers = ViewerLimits {
@@ -204,19 +205,19 @@
         n.map_or(or, |n| f.whole(n, name, 0.0, highest)) as u8
     };
     let repeat = match g.repeat.value.as_str() {
-        "safe" => Repeat::Safe,
-        "once" => Repeat::Once,
-        "keyed" => Repeat::Keyed(Scope::All),
-        "keyed-in-building" => Repeat::Keyed(Scope::Zone),
-        "keyed-in-rack" => Repeat::Keyed(Scope::Cell),
+        "safe" => RepeatPolicy::Safe,
+        "once" => RepeatPolicy::Once,
+        "keyed" => RepeatPolicy::Keyed(KeyScope::All),
+        "keyed-in-building" => RepeatPolicy::Keyed(KeyScope::Zone),
+        "keyed-in-rack" => RepeatPolicy::Keyed(KeyScope::Cell),
         other => {
             let known = "safe, once, keyed, keyed-in-building, keyed-in-rack";
             f.tell(g.repeat.at, format!("repeat: {other:?} is none of {known}"));
-            Repeat::Once
+            RepeatPolicy::Once
         }
     };
     let window = g.window.map_or(0.0, |n| f.time(n, "window"));
-    if matches!(repeat, Repeat::Keyed(_)) && g.window.is_none() {
+    if matches!(repeat, RepeatPolicy::Keyed(_)) && g.window.is_none() {
         f.tell(g.repeat.at, "repeat: keyed needs a window");
     }
     let (floor, top) = (rung(g.floor, "floor", 0.0, f), rung(g.top, "top", highest, f));
@@ -227,11 +228,11 @@
         start_target: f.time(g.start_target, "start-target"),
         utility: f.within(g.utility, "utility", 0.0, 1e6),
         repeat,
-        window,
-        floor,
-        top,
-        scale: g.scale.map_or(1.0, |n| f.within(n, "scale", 0.001, 1e3)),
-        seats: g.seats.map_or(0, |n| f.whole(n, "seats", 0.0, 1e7) as u32),
+        key_window: window,
+        lowest_rung: floor,
+        highest_rung: top,
+        rate_scale: g.scale.map_or(1.0, |n| f.within(n, "scale", 0.001, 1e3)),
+        max_sessions_per_title: g.seats.map_or(0, |n| f.whole(n, "seats", 0.0, 1e7) as u32),
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use walnutline::ids::Ms;
-use walnutline::terms::Terms;
+use walnutline::settings::PolicySettings;
 use walnutline_catalogue::news::Price;
 use walnutline_dash::{SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
@@ -25,7 +25,7 @@
     pub list: SocketAddr,
     pub list_path: String,
     pub seed: Option<u64>,
-    pub terms: Terms,
+    pub terms: PolicySettings,
     pub waits: Waits,
     /// Service groups by name, in the order of the terms, with the time that viewers wait.
     pub groups: Vec<(String, Ms)>,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -53,10 +53,10 @@
     let d = parse("f.kdl", GOOD, &folder).unwrap_or_else(|f| panic!("{f:?}"));
     std::fs::remove_dir_all(folder).unwrap();
     assert_eq!(d.groups[1], ("board-loop".to_owned(), 5_000.0));
-    assert_eq!(d.terms.rung_kb, [200.0, 450.5]);
-    assert_eq!((d.terms.groups[1].floor, d.terms.groups[1].top), (1, 1));
-    assert_eq!(d.terms.budget.map(|b| b.free), Some(5.0));
-    assert!(d.terms.probe_fed && d.terms.come_back.is_some());
+    assert_eq!(d.terms.rung_kb_per_s, [200.0, 450.5]);
+    assert_eq!((d.terms.service_groups[1].lowest_rung, d.terms.service_groups[1].highest_rung), (1, 1));
+    assert_eq!(d.terms.retry_budget.map(|b| b.free_retries), Some(5.0));
+    assert!(d.terms.reports_by_probe && d.terms.max_retry_after.is_some());
     assert_eq!(d.list_path, "/boxes");
     assert!(d.session.signer(1.9e12).is_some() && d.session.signer(2e12).is_none());
 }
--- a/crates/settings/src/titles.rs
+++ b/crates/settings/src/titles.rs
@@ -14,7 +14,7 @@
 use crate::document::{Num, Text};
 use crate::{place, syntax, too_deep, Fault, DEEPEST};
 use knus::span::Span;
-use walnutline::ids::{RackNo, ServerId};
+use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::Title;
 use walnutline_catalogue::packed::Packed;
 use walnutline_catalogue::version::{BoxOf, Builder, Version};
@@ -83,7 +83,7 @@
     let mut builder = Builder::new(number.into(), names.clone(), None).map_err(|why| vec![(at, why)])?;
     let mut faults = Vec::new();
     for b in d.boxes {
-        let rack = b.rack.map(|r| id(r, "rack").map(RackNo)).transpose();
+        let rack = b.rack.map(|r| id(r, "rack").map(RackId)).transpose();
         match (id(b.id, "box"), rack) {
             (Ok(server), Ok(rack)) => {
                 builder.tell(BoxOf { server: ServerId(server), gone: b.gone.unwrap_or(false), rack })
@@ -136,7 +136,7 @@
         let t = v.title("water").unwrap().title();
         assert_eq!((t.rates, t.groups, t.length), (vec![180.0, 360.5], 2, 60_000));
         assert_eq!(t.holders, [ServerId(3), ServerId(4)]);
-        assert_eq!(v.in_rack(RackNo(1)).0, t.holders);
+        assert_eq!(v.in_rack(RackId(1)).0, t.holders);
     }
 
     #[test]
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,16 +1,16 @@
 //! Many instances in one process, each with a desk of its own.
 use crate::wire::{Frame, Reader, Reply, HEADER};
 use std::collections::BTreeMap;
-use walnutline::fleet::{Listed, Listing};
-use walnutline::ids::{CellNo, GroupNo, KindNo, Ms, ServerId, SessId, TitleId, ZoneNo};
-use walnutline::interface::{Ending, Holders, Request};
-use walnutline::terms::Terms;
+use walnutline::api::{Holders, Request, SetupOutcome};
+use walnutline::fleet::{ListEntry, ServerState};
+use walnutline::ids::{CellId, GroupIndex, KindIndex, Ms, ServerId, SessionId, TitleId, ZoneIndex};
+use walnutline::settings::PolicySettings;
 use walnutline_desk::desk::{Action, Desk};
 
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Desk>,
-    pages: BTreeMap<u16, Vec<Listed>>,
+    pages: BTreeMap<u16, Vec<ListEntry>>,
 }
 
 impl Host {
@@ -63,9 +63,9 @@
             let seed = r.u64()?;
             let len = r.u32()? as usize;
             let info = std::str::from_utf8(r.take(len)?).map_err(|e| format!("settings: {e}"))?;
-            let mut terms = Terms::parse(info).map_err(|e| format!("settings: {e}"))?;
+            let mut terms = PolicySettings::parse(info).map_err(|e| format!("settings: {e}"))?;
             // This adapter carries no messages between fronts.
-            terms.may_tell = false;
+            terms.peer_messages_allowed = false;
             self.instances.insert(who, Desk::new(terms, seed, now));
             return Ok(Some(who));
         }
@@ -98,7 +98,7 @@
                 }
             }
             3 => {
-                let id = SessId(r.u64()?);
+                let id = SessionId(r.u64()?);
                 let top = r.f32()?;
                 let group = r.u16()?;
                 let (_estimate, _bits, _key, _tenant) = (r.f64()?, r.u8()?, r.u64()?, r.u32()?);
@@ -109,13 +109,13 @@
                 }
             }
             4 => {
-                let (id, _leg, _server, _took) = (SessId(r.u64()?), r.u16()?, r.u32()?, r.f64()?);
+                let (id, _leg, _server, _took) = (SessionId(r.u64()?), r.u16()?, r.u32()?, r.f64()?);
                 if let Some(i) = known {
                     i.started(id, now);
                 }
             }
             5 => {
-                let (id, how, server, over) = (SessId(r.u64()?), r.u16()?, ServerId(r.u32()?), r.u8()?);
+                let (id, how, server, over) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?), r.u8()?);
                 let (_took, _leg) = (r.f64()?, r.u16()?);
                 let load = values(r)?;
                 let ending = ending(how)?;
@@ -125,7 +125,7 @@
                 }
             }
             6 => {
-                let id = SessId(r.u64()?);
+                let id = SessionId(r.u64()?);
                 if let Some(i) = known {
                     i.left(id);
                 }
@@ -153,7 +153,7 @@
                 self.instances.remove(&who);
             }
             11 => {
-                let (id, group, _tenant, _key) = (SessId(r.u64()?), r.u16()?, r.u32()?, r.u64()?);
+                let (id, group, _tenant, _key) = (SessionId(r.u64()?), r.u16()?, r.u32()?, r.u64()?);
                 let (title, left, _estimate) = (r.u64()?, r.f64()?, r.f64()?);
                 let (home, span, top, _bits) = (r.f32()?, r.f32()?, r.f32()?, r.u8()?);
                 let server = ServerId(r.u32()?);
@@ -163,7 +163,7 @@
                 }
             }
             _ => {
-                let (id, server, sort) = (SessId(r.u64()?), ServerId(r.u32()?), r.u8()?);
+                let (id, server, sort) = (SessionId(r.u64()?), ServerId(r.u32()?), r.u8()?);
                 let (_leg, x) = (r.u16()?, r.f32()? as f64);
                 if let Some(i) = known {
                     match sort {
@@ -190,15 +190,15 @@
     top: f32,
     left: Ms,
 ) -> Result<Request, String> {
-    if group as usize >= desk.front.terms.groups.len() {
+    if group as usize >= desk.front.settings.service_groups.len() {
         return Err(format!("class {group} is not in the settings"));
     }
     Ok(Request {
-        group: GroupNo(group),
+        group: GroupIndex(group),
         title: TitleId(title),
-        holders: Holders::Cells { home: CellNo(home as u32), span: span as u32 },
-        rates: None,
-        top: top as u8,
+        holders: Holders::Cells { first: CellId(home as u32), count: span as u32 },
+        rates_kb_per_s: None,
+        highest_rung: top as u8,
         left,
     })
 }
@@ -238,35 +238,35 @@
     }
 }
 
-fn ending(code: u16) -> Result<Ending, String> {
+fn ending(code: u16) -> Result<SetupOutcome, String> {
     Ok(match code {
-        0 => Ending::Errored,
-        1 => Ending::Done,
-        2 => Ending::BusyReplied,
-        3 => Ending::TimedOut,
-        4 => Ending::NoConnection,
-        5 => Ending::Broken,
-        6 => Ending::Withdrawn,
-        7 => Ending::NeverSent,
+        0 => SetupOutcome::Errored,
+        1 => SetupOutcome::Done,
+        2 => SetupOutcome::BusyReplied,
+        3 => SetupOutcome::TimedOut,
+        4 => SetupOutcome::NoConnection,
+        5 => SetupOutcome::Broken,
+        6 => SetupOutcome::Withdrawn,
+        7 => SetupOutcome::NeverSent,
         other => return Err(format!("unknown outcome code {other}")),
     })
 }
 
-fn list_line(r: &mut Reader) -> Result<Listed, String> {
+fn list_line(r: &mut Reader) -> Result<ListEntry, String> {
     let (id, zone, kind, cell) = (r.u32()?, r.u8()?, r.u8()?, r.u16()?);
     let listing = match r.u8()? {
-        0 => Listing::Draining,
-        1 => Listing::Ready,
-        2 => Listing::Gone,
+        0 => ServerState::Draining,
+        1 => ServerState::Ready,
+        2 => ServerState::Gone,
         other => return Err(format!("byte {}: unknown availability {other}", r.at - 1)),
     };
     let (weight, started) = (r.f32()? as f64, r.f64()?);
-    Ok(Listed {
+    Ok(ListEntry {
         id: ServerId(id),
-        zone: ZoneNo(zone.into()),
-        kind: KindNo(kind),
-        cell: CellNo(cell as u32),
-        listing,
+        zone: ZoneIndex(zone.into()),
+        kind: KindIndex(kind),
+        cell: CellId(cell as u32),
+        state: listing,
         weight,
         started: (started != 0.0).then_some(started),
     })
--- a/src/interface.rs
+++ b/src/api.rs
@@ -1,10 +1,10 @@
 //! What the calls of the decisions take and return: plain values.
-use crate::ids::{CellNo, GroupNo, Ms, ServerId, SessId, TitleId};
+use crate::ids::{CellId, GroupIndex, Ms, ServerId, SessionId, TitleId};
 use std::sync::Arc;
 
 /// Where a session goes.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Place {
+pub enum Placement {
     Setup {
         server: ServerId,
         rung: u8,
@@ -16,12 +16,12 @@
     },
     TornDown,
     /// Nothing is owed: the session plays, or it is over.
-    Nothing,
+    NoAction,
 }
 
 /// How a SETUP, or the session that came of it, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum SetupOutcome {
     Done,
     Errored,
     BusyReplied,
@@ -32,49 +32,49 @@
     NeverSent,
 }
 
-impl Ending {
+impl SetupOutcome {
     /// Whether this proves that the SETUP had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::BusyReplied | Ending::NoConnection | Ending::NeverSent)
+        matches!(self, SetupOutcome::BusyReplied | SetupOutcome::NoConnection | SetupOutcome::NeverSent)
     }
 }
 
 /// Servers that one message between fronts has room for.
-pub const NEWS_A_MESSAGE: usize = 36;
+pub const PEER_REPORTS_PER_MESSAGE: usize = 36;
 
 /// What one front tells the others of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct News {
+pub struct PeerReport {
     pub server: ServerId,
     /// Streams that it runs or sets up, as a share of the most that it runs.
-    pub streams: f64,
+    pub stream_use: f64,
     /// What is asked of its link over what it gives.
-    pub link: f64,
+    pub link_use: f64,
     /// How long ago that was heard.
     pub age: Ms,
     /// How long ago the process that answered is known to have been there.
-    pub since: Ms,
+    pub process_age: Ms,
 }
 
 /// What is due now, and when to ask again.
 #[derive(Debug, Default, PartialEq)]
-pub struct Due {
-    pub rungs: Vec<(SessId, u8)>,
+pub struct DueActions {
+    pub rung_changes: Vec<(SessionId, u8)>,
     pub probes: Vec<ServerId>,
     /// The list of servers, or its changes from now on, is to be asked for.
-    pub ask_list: bool,
-    pub place: Vec<SessId>,
+    pub request_list: bool,
+    pub sessions_to_place: Vec<SessionId>,
     /// To be told to all other fronts, in one message.
-    pub tell: Vec<News>,
-    pub log: Vec<String>,
-    pub again_at: Ms,
+    pub peer_reports: Vec<PeerReport>,
+    pub log_lines: Vec<String>,
+    pub next_call_at: Ms,
 }
 
 /// The servers that hold a title, as a request tells them. Both forms enter the same choice.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Holders {
     /// Those in `span` cells in a row from `home`.
-    Cells { home: CellNo, span: u32 },
+    Cells { first: CellId, count: u32 },
     /// Those named, ascending by id: see [`Holders::named`].
     Named(Arc<[ServerId]>),
 }
@@ -91,12 +91,12 @@
 /// A request as it comes in.
 #[derive(Debug, Clone)]
 pub struct Request {
-    pub group: GroupNo,
+    pub group: GroupIndex,
     pub title: TitleId,
     pub holders: Holders,
     /// The title's true rate at each rung, in kB a second, where it is known: else it is taken for the ladder's.
-    pub rates: Option<Arc<[f64]>>,
-    pub top: u8,
+    pub rates_kb_per_s: Option<Arc<[f64]>>,
+    pub highest_rung: u8,
     /// How long the viewer waits.
     pub left: Ms,
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,9 +1,10 @@
 //! What a front holds of the servers: one record each, and one for each rack's uplink.
-use crate::ids::{CellNo, KindNo, Ms, RackNo, ServerId, ZoneNo};
+use crate::ids::{CellId, KindIndex, Ms, RackId, ServerId, ZoneIndex};
 use std::collections::BTreeMap;
+use std::fmt;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listing {
+pub enum ServerState {
     Ready,
     Draining,
     Gone,
@@ -11,19 +12,29 @@
 
 /// What sessions share: the link of a server, or the uplink of a rack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Line {
+pub enum SharedLink {
     Link(ServerId),
-    Uplink(RackNo),
+    Uplink(RackId),
+}
+
+/// The form in log lines, which operators' tools match.
+impl fmt::Display for SharedLink {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            SharedLink::Link(id) => write!(f, "Link(ServerId({}))", id.0),
+            SharedLink::Uplink(id) => write!(f, "Uplink(RackNo({}))", id.0),
+        }
+    }
 }
 
 /// One line of the list, as it was told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListEntry {
     pub id: ServerId,
-    pub zone: ZoneNo,
-    pub kind: KindNo,
-    pub cell: CellNo,
-    pub listing: Listing,
+    pub zone: ZoneIndex,
+    pub kind: KindIndex,
+    pub cell: CellId,
+    pub state: ServerState,
     pub weight: f64,
     /// Start of the process, where it was not long ago.
     pub started: Option<Ms>,
@@ -31,61 +42,61 @@
 
 /// A figure that was heard, with the front's own part of it at that moment.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Seen {
+pub struct Measurement {
     pub value: f64,
     pub at: Ms,
-    pub own: f64,
+    pub own_load: f64,
 }
 
 #[derive(Debug, Clone)]
 pub struct Server {
-    pub listed: Listed,
+    pub listed: ListEntry,
     /// The largest weight that was listed of it.
-    pub largest: f64,
+    pub largest_weight: f64,
     /// What is asked of the link over what it gives.
-    pub link: Option<Seen>,
+    pub link_use: Option<Measurement>,
     /// Streams that it runs or sets up.
-    pub streams: Option<Seen>,
+    pub streams: Option<Measurement>,
     /// Failures in a row, and until when it is set aside for them.
-    pub fails: u32,
-    pub aside_until: Ms,
+    pub failures: u32,
+    pub excluded_until: Ms,
     /// When it last answered this front with a report.
-    pub reported: Ms,
+    pub last_report_at: Ms,
     /// Its last failure.
-    pub failed: Ms,
+    pub last_failure_at: Ms,
     /// Until when a busy reply of it counts.
     pub busy_until: Ms,
     /// When its death was witnessed, and when it answered after that.
-    pub died: Option<Ms>,
-    pub back: Option<Ms>,
+    pub died_at: Option<Ms>,
+    pub recovered_at: Option<Ms>,
     /// SETUPs sent while it was cold.
-    pub sent_cold: Vec<Ms>,
+    pub recent_setups: Vec<Ms>,
     /// When the next probe is due, once that is settled.
-    pub probe_at: Option<Ms>,
+    pub next_probe_at: Option<Ms>,
     /// This front's part of the room that was heard of, as far as it is not yet used.
-    pub room_kb: f64,
+    pub spare_kb_per_s: f64,
     /// Sessions there were stepped down; what is heard before this tells of the time before.
-    pub settled_at: Ms,
+    pub ignore_reports_until: Ms,
 }
 
 impl Server {
-    pub fn new(listed: Listed) -> Self {
+    pub fn new(listed: ListEntry) -> Self {
         Server {
-            largest: listed.weight,
+            largest_weight: listed.weight,
             listed,
-            link: None,
+            link_use: None,
             streams: None,
-            fails: 0,
-            aside_until: Ms::NEG_INFINITY,
-            reported: Ms::NEG_INFINITY,
-            failed: Ms::NEG_INFINITY,
+            failures: 0,
+            excluded_until: Ms::NEG_INFINITY,
+            last_report_at: Ms::NEG_INFINITY,
+            last_failure_at: Ms::NEG_INFINITY,
             busy_until: Ms::NEG_INFINITY,
-            died: None,
-            back: None,
-            sent_cold: Vec::new(),
-            probe_at: None,
-            room_kb: 0.0,
-            settled_at: Ms::NEG_INFINITY,
+            died_at: None,
+            recovered_at: None,
+            recent_setups: Vec::new(),
+            next_probe_at: None,
+            spare_kb_per_s: 0.0,
+            ignore_reports_until: Ms::NEG_INFINITY,
         }
     }
 }
@@ -93,24 +104,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct Rack {
     /// What is asked of the uplink over what it gives.
-    pub uplink: Option<Seen>,
-    pub settled_at: Ms,
+    pub uplink_use: Option<Measurement>,
+    pub ignore_reports_until: Ms,
 }
 
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub servers: BTreeMap<ServerId, Server>,
-    pub racks: BTreeMap<RackNo, Rack>,
+    pub racks: BTreeMap<RackId, Rack>,
 }
 
 impl Fleet {
     /// What was last heard of a line, and until when news of it is left out; `None` for an unknown server.
-    pub fn line(&mut self, line: Line) -> Option<(&mut Option<Seen>, &mut Ms)> {
+    pub fn link_state_mut(&mut self, line: SharedLink) -> Option<(&mut Option<Measurement>, &mut Ms)> {
         match line {
-            Line::Link(id) => self.servers.get_mut(&id).map(|s| (&mut s.link, &mut s.settled_at)),
-            Line::Uplink(no) => {
+            SharedLink::Link(id) => {
+                self.servers.get_mut(&id).map(|s| (&mut s.link_use, &mut s.ignore_reports_until))
+            }
+            SharedLink::Uplink(no) => {
                 let rack = self.racks.entry(no).or_default();
-                Some((&mut rack.uplink, &mut rack.settled_at))
+                Some((&mut rack.uplink_use, &mut rack.ignore_reports_until))
             }
         }
     }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -10,21 +10,21 @@
 
 id! {
     /// One request for a session, and the session that it becomes.
-    SessId(u64),
+    SessionId(u64),
     /// A media server, the same at every front.
     ServerId(u32),
     /// What is watched.
     TitleId(u64),
     /// Position of a service group in the terms.
-    GroupNo(u16),
+    GroupIndex(u16),
     /// Position of a zone in the terms.
-    ZoneNo(u16),
+    ZoneIndex(u16),
     /// Position of a kind of machine in the terms.
-    KindNo(u8),
+    KindIndex(u8),
     /// A cell: tells the titles held and the rack.
-    CellNo(u32),
+    CellId(u32),
     /// A rack, whose servers share one uplink.
-    RackNo(u32),
+    RackId(u32),
 }
 
 /// Milliseconds with fractions, on the clock that the front is handed.
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -3,17 +3,17 @@
 
 use support::*;
 use test_case::test_case;
-use walnutline::fleet::{Listing, Seen};
-use walnutline::hand::{Hand, Sess};
+use walnutline::api::{Placement, SetupOutcome};
+use walnutline::fleet::{Measurement, ServerState};
 use walnutline::ids::*;
-use walnutline::interface::{Ending, Place};
-use walnutline::terms::{Column, ListWay, Repeat, Scope, Weights};
+use walnutline::sessions::{Session, SessionTable};
+use walnutline::settings::{KeyScope, ListDelivery, RepeatPolicy, ReportColumn, WeightKind};
 
-const ONE: SessId = SessId(1);
+const ONE: SessionId = SessionId(1);
 
-fn went_to(place: &Place) -> Option<u32> {
+fn went_to(place: &Placement) -> Option<u32> {
     match place {
-        Place::Setup { server, .. } => Some(server.0),
+        Placement::Setup { server, .. } => Some(server.0),
         _ => None,
     }
 }
@@ -24,26 +24,26 @@
 fn the_holder_of_least_cost_wins(link: f64, streams: f64) -> Option<u32> {
     let mut f = front(terms());
     let three = f.fleet.servers.get_mut(&ServerId(3)).unwrap();
-    three.link = Some(Seen { value: link, at: NOW, own: 0.0 });
-    three.streams = Some(Seen { value: streams, at: NOW, own: 0.0 });
-    let mut h = hand([Sess { holders: cells(1, 3), ..sess() }]);
-    f.fleet.servers.get_mut(&ServerId(2)).unwrap().listed.listing = Listing::Gone;
+    three.link_use = Some(Measurement { value: link, at: NOW, own_load: 0.0 });
+    three.streams = Some(Measurement { value: streams, at: NOW, own_load: 0.0 });
+    let mut h = hand([Session { holders: cells(1, 3), ..sess() }]);
+    f.fleet.servers.get_mut(&ServerId(2)).unwrap().listed.state = ServerState::Gone;
     went_to(&f.place(&mut h, ONE, NOW))
 }
 
 #[test]
 fn a_server_not_heard_from_counts_as_average() {
-    let mut f = front(walnutline::terms::Terms { may_probe: false, ..terms() });
+    let mut f = front(walnutline::settings::PolicySettings { probes_allowed: false, ..terms() });
     for id in [0, 1] {
-        f.fleet.servers.get_mut(&ServerId(id)).unwrap().link =
-            Some(Seen { value: 0.1 + 0.6 * id as f64, at: NOW, own: 0.0 });
+        f.fleet.servers.get_mut(&ServerId(id)).unwrap().link_use =
+            Some(Measurement { value: 0.1 + 0.6 * id as f64, at: NOW, own_load: 0.0 });
     }
     let unheard = f.fleet.servers.get_mut(&ServerId(3)).unwrap();
-    (unheard.link, unheard.streams) = (None, None);
+    (unheard.link_use, unheard.streams) = (None, None);
     // Rack 1 holds the server of use 0.7 and the one not heard from: under a half on average.
-    let mut h = hand([Sess { holders: cells(3, 1), ..sess() }]);
+    let mut h = hand([Session { holders: cells(3, 1), ..sess() }]);
     let place = f.place(&mut h, ONE, NOW);
-    assert!(matches!(place, Place::Setup { rung: 2, .. }), "{place:?}");
+    assert!(matches!(place, Placement::Setup { rung: 2, .. }), "{place:?}");
 }
 
 #[test_case(0.48 => 2; "under the mark at the top")]
@@ -53,10 +53,10 @@
 fn a_new_session_starts_lower_on_a_fuller_link(used: f64) -> u8 {
     let mut f = front(terms());
     for s in f.fleet.servers.values_mut() {
-        s.link = Some(Seen { value: used, at: NOW, own: 0.0 });
+        s.link_use = Some(Measurement { value: used, at: NOW, own_load: 0.0 });
     }
     match f.place(&mut hand([sess()]), ONE, NOW) {
-        Place::Setup { rung, .. } => rung,
+        Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
 }
@@ -67,10 +67,17 @@
 #[test_case(200_000.0, 0.85 => 1; "over the page's mark all the same")]
 fn a_coarse_link_keeps_more_room(link_kb_per_weight: f64, used: f64) -> u8 {
     let uplink_kb = 10.0 * link_kb_per_weight;
-    let mut f = front(walnutline::terms::Terms { link_kb_per_weight, uplink_kb, ..terms() });
-    f.fleet.servers.values_mut().for_each(|s| s.link = Some(Seen { value: used, at: NOW, own: 0.0 }));
+    let mut f = front(walnutline::settings::PolicySettings {
+        link_kb_per_s_per_weight: link_kb_per_weight,
+        uplink_kb_per_s: uplink_kb,
+        ..terms()
+    });
+    f.fleet
+        .servers
+        .values_mut()
+        .for_each(|s| s.link_use = Some(Measurement { value: used, at: NOW, own_load: 0.0 }));
     match f.place(&mut hand([sess()]), ONE, NOW) {
-        Place::Setup { rung, .. } => rung,
+        Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
 }
@@ -80,54 +87,60 @@
 #[test_case(0.70, 0 => true; "room at the lowest rung")]
 fn what_does_not_fit_at_the_lowest_rungs_is_turned_away(used: f64, rung: u8) -> bool {
     let mut f = front(terms());
-    let own = f.terms.rate(GroupNo(0), rung);
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = Some(Seen { value: used, at: NOW, own });
-    let mut h = hand([Sess { holders: cells(0, 1), ..sess() }, playing(0, rung, 0.0)]);
+    let own = f.settings.ladder_rate(GroupIndex(0), rung);
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+        Some(Measurement { value: used, at: NOW, own_load: own });
+    let mut h = hand([Session { holders: cells(0, 1), ..sess() }, playing(0, rung, 0.0)]);
     went_to(&f.place(&mut h, ONE, NOW)).is_some()
 }
 
-#[test_case(Listing::Draining; "draining")]
-#[test_case(Listing::Gone; "gone")]
-fn nothing_new_goes_to_a_server_that_leaves(listing: Listing) {
+#[test_case(ServerState::Draining; "draining")]
+#[test_case(ServerState::Gone; "gone")]
+fn nothing_new_goes_to_a_server_that_leaves(listing: ServerState) {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(1)).unwrap().listed.listing = listing;
-    let mut h = hand([Sess { holders: cells(1, 1), ..sess() }]);
-    assert!(matches!(f.place(&mut h, ONE, NOW), Place::BusyReply { .. }));
-    assert!(h.sess.is_empty());
+    f.fleet.servers.get_mut(&ServerId(1)).unwrap().listed.state = listing;
+    let mut h = hand([Session { holders: cells(1, 1), ..sess() }]);
+    assert!(matches!(f.place(&mut h, ONE, NOW), Placement::BusyReply { .. }));
+    assert!(h.sessions.is_empty());
 }
 
-#[test_case(1.5, 5.0 => vec![(SessId(3), 1), (SessId(2), 1)]; "newest first until it fits")]
-#[test_case(0.95, 5.0 => Vec::<(SessId, u8)>::new(); "not over")]
-#[test_case(1.5, 0.5 => Vec::<(SessId, u8)>::new(); "all changed within the hold")]
-fn playing_sessions_step_down_where_use_is_over(use_: f64, ago_s: f64) -> Vec<(SessId, u8)> {
+#[test_case(1.5, 5.0 => vec![(SessionId(3), 1), (SessionId(2), 1)]; "newest first until it fits")]
+#[test_case(0.95, 5.0 => Vec::<(SessionId, u8)>::new(); "not over")]
+#[test_case(1.5, 0.5 => Vec::<(SessionId, u8)>::new(); "all changed within the hold")]
+fn playing_sessions_step_down_where_use_is_over(use_: f64, ago_s: f64) -> Vec<(SessionId, u8)> {
     let mut f = front(terms());
     let mut h = hand((0..3).map(|i| playing(0, 2, 1_000.0 * i as f64)));
-    h.sess.values_mut().for_each(|s| s.stepped = NOW - 1_000.0 * ago_s);
-    f.share_heard(&mut h, ServerId(0), 1.0 / use_, NOW);
-    f.rungs
+    h.sessions.values_mut().for_each(|s| s.rung_set_at = NOW - 1_000.0 * ago_s);
+    f.record_delivered_share(&mut h, ServerId(0), 1.0 / use_, NOW);
+    f.rung_changes
 }
 
 #[test_case(0.5, 1.3 => 0.9; "one reading over does not make it full")]
 #[test_case(1.1, 1.3 => 1.2; "two do")]
 fn a_report_counts_half_against_what_the_table_expected(held: f64, told: f64) -> f64 {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = Some(Seen { value: held, at: NOW, own: 0.0 });
-    f.link_heard(&mut Hand::default(), ServerId(0), told, NOW);
-    (f.fleet.servers[&ServerId(0)].link.unwrap().value * 1e6).round() / 1e6
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+        Some(Measurement { value: held, at: NOW, own_load: 0.0 });
+    f.record_link_use(&mut SessionTable::default(), ServerId(0), told, NOW);
+    (f.fleet.servers[&ServerId(0)].link_use.unwrap().value * 1e6).round() / 1e6
 }
 
 #[test_case(None => 0; "average of a full fleet")]
 #[test_case(Some(NOW - 5_000.0) => 2; "just started, so empty")]
 #[test_case(Some(NOW - 50_000.0) => 0; "started long ago")]
 fn a_server_in_its_warm_up_counts_as_empty_until_heard_from(started: Option<Ms>) -> u8 {
-    let mut f =
-        front(walnutline::terms::Terms { cold: Some(cold()), uplink_kb: 1e6, may_probe: false, ..terms() });
-    f.fleet.servers.values_mut().for_each(|s| s.link.as_mut().unwrap().value = 0.95);
+    let mut f = front(walnutline::settings::PolicySettings {
+        cold_start: Some(cold()),
+        uplink_kb_per_s: 1e6,
+        probes_allowed: false,
+        ..terms()
+    });
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.95);
     let s = f.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.link, s.listed.started) = (None, started);
-    f.terms.fronts = 1;
-    match f.place(&mut hand([Sess { holders: cells(0, 1), ..sess() }]), ONE, NOW) {
-        Place::Setup { rung, .. } => rung,
+    (s.link_use, s.listed.started) = (None, started);
+    f.settings.front_count = 1;
+    match f.place(&mut hand([Session { holders: cells(0, 1), ..sess() }]), ONE, NOW) {
+        Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
 }
@@ -136,73 +149,84 @@
 #[test_case(0.9 => Some(0); "room")]
 fn a_full_link_is_not_empty_once_this_front_has_left_it(heard: f64) -> Option<u32> {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = Some(Seen { value: heard, at: NOW, own: 400.0 });
-    went_to(&f.place(&mut hand([Sess { holders: cells(0, 1), ..sess() }, playing(3, 0, 0.0)]), ONE, NOW))
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+        Some(Measurement { value: heard, at: NOW, own_load: 400.0 });
+    went_to(&f.place(&mut hand([Session { holders: cells(0, 1), ..sess() }, playing(3, 0, 0.0)]), ONE, NOW))
 }
 
 #[test_case(100.0 => 0.6; "started since: 400 of 2000 kB more")]
 #[test_case(900.0 => 0.5; "in it already")]
 fn a_report_lacks_what_was_added_since_it_was_made(ago: Ms) -> f64 {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = Some(Seen { value: 0.5, at: NOW, own: 400.0 });
-    let mut h = hand([Sess { changed: NOW - ago, ..playing(0, 2, NOW - ago) }]);
-    f.link_heard(&mut h, ServerId(0), 0.5, NOW);
-    f.fleet.servers[&ServerId(0)].link.unwrap().value
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+        Some(Measurement { value: 0.5, at: NOW, own_load: 400.0 });
+    let mut h = hand([Session { rate_changed_at: NOW - ago, ..playing(0, 2, NOW - ago) }]);
+    f.record_link_use(&mut h, ServerId(0), 0.5, NOW);
+    f.fleet.servers[&ServerId(0)].link_use.unwrap().value
 }
 
 #[test_case(0.40, 2 => vec![(ONE, 2)]; "room at the higher rate")]
-#[test_case(0.78, 2 => Vec::<(SessId, u8)>::new(); "over the mark at the higher rate")]
-#[test_case(0.40, 1 => Vec::<(SessId, u8)>::new(); "the viewer's top")]
-fn a_playing_session_steps_up_into_room(use_: f64, top: u8) -> Vec<(SessId, u8)> {
+#[test_case(0.78, 2 => Vec::<(SessionId, u8)>::new(); "over the mark at the higher rate")]
+#[test_case(0.40, 1 => Vec::<(SessionId, u8)>::new(); "the viewer's top")]
+fn a_playing_session_steps_up_into_room(use_: f64, top: u8) -> Vec<(SessionId, u8)> {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link =
-        Some(Seen { value: use_, at: NOW - 5_000.0, own: 200.0 });
-    let mut h = hand([Sess { top, ..playing(0, 1, 0.0) }]);
-    f.link_heard(&mut h, ServerId(0), use_, NOW);
-    f.rungs
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+        Some(Measurement { value: use_, at: NOW - 5_000.0, own_load: 200.0 });
+    let mut h = hand([Session { highest_rung: top, ..playing(0, 1, 0.0) }]);
+    f.record_link_use(&mut h, ServerId(0), use_, NOW);
+    f.rung_changes
 }
 
 /// News that comes again within its own delay does not show what the first led to: guards against room filled twice.
 #[test_case(5_000.0 => 800.0; "all of the part")]
 #[test_case(110.0 => 80.0; "a tenth of the delay later")]
 fn room_is_filled_once_within_the_delay_of_news(ago: Ms) -> f64 {
-    let mut f = front(walnutline::terms::Terms { uplink_kb: 1e6, ..terms() });
-    let link = Some(Seen { value: 0.4, at: NOW - ago, own: 800.0 });
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = link;
-    let stay = Sess { top: 2, stepped: NOW, ..playing(0, 2, 0.0) };
+    let mut f = front(walnutline::settings::PolicySettings { uplink_kb_per_s: 1e6, ..terms() });
+    let link = Some(Measurement { value: 0.4, at: NOW - ago, own_load: 800.0 });
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use = link;
+    let stay = Session { highest_rung: 2, rung_set_at: NOW, ..playing(0, 2, 0.0) };
     let mut h = hand([stay.clone(), stay]);
-    f.link_heard(&mut h, ServerId(0), 0.4, NOW);
-    f.fleet.servers[&ServerId(0)].room_kb.round()
+    f.record_link_use(&mut h, ServerId(0), 0.4, NOW);
+    f.fleet.servers[&ServerId(0)].spare_kb_per_s.round()
 }
 
-fn telling(fronts: u32) -> walnutline::front::Front {
-    front(walnutline::terms::Terms { fronts, may_tell: true, ..terms() })
+fn telling(fronts: u32) -> walnutline::state::FrontState {
+    front(walnutline::settings::PolicySettings {
+        front_count: fronts,
+        peer_messages_allowed: true,
+        ..terms()
+    })
 }
 
 /// So many messages as requests pay for: with 41 fronts one to all for each 20 taken.
 #[test]
 fn what_probes_answer_is_told_to_all_and_paid_for_by_requests() {
-    let (mut f, mut h) = (telling(41), Hand::default());
+    let (mut f, mut h) = (telling(41), SessionTable::default());
     let now = NOW + 2_000.0;
-    f.untold = Some(19.0);
-    assert!(f.wait(&mut h, now).probes.is_empty());
-    f.untold = Some(20.0);
+    f.requests_since_peer_report = Some(19.0);
+    assert!(f.due_actions(&mut h, now).probes.is_empty());
+    f.requests_since_peer_report = Some(20.0);
     // Three are old news, one was heard just now.
-    f.fleet.servers.get_mut(&ServerId(3)).unwrap().link.as_mut().unwrap().at = now - 100.0;
-    let due = f.wait(&mut h, now);
-    assert_eq!((due.probes.len(), due.tell.len(), f.untold), (3, 0, Some(0.0)));
+    f.fleet.servers.get_mut(&ServerId(3)).unwrap().link_use.as_mut().unwrap().at = now - 100.0;
+    let due = f.due_actions(&mut h, now);
+    assert_eq!((due.probes.len(), due.peer_reports.len(), f.requests_since_peer_report), (3, 0, Some(0.0)));
     for id in [0, 1] {
-        f.report(&mut h, ServerId(id), &[10.0, 0.7], now + 10.0);
+        f.record_report(&mut h, ServerId(id), &[10.0, 0.7], now + 10.0);
     }
-    assert!(f.wait(&mut h, now + 20.0).tell.is_empty(), "one has not answered yet");
+    assert!(f.due_actions(&mut h, now + 20.0).peer_reports.is_empty(), "one has not answered yet");
     // What another front says of it is not this one's to pass on: guards against a dead server told of for ever.
-    let news =
-        walnutline::interface::News { server: ServerId(2), streams: 0.5, link: 0.5, age: 0.0, since: 0.0 };
-    f.peer_told(&mut h, &[news], now + 30.0);
-    let told = f.wait(&mut h, now + 200.0).tell;
+    let news = walnutline::api::PeerReport {
+        server: ServerId(2),
+        stream_use: 0.5,
+        link_use: 0.5,
+        age: 0.0,
+        process_age: 0.0,
+    };
+    f.record_peer_reports(&mut h, &[news], now + 30.0);
+    let told = f.due_actions(&mut h, now + 200.0).peer_reports;
     assert_eq!(told.iter().map(|n| (n.server.0, n.age)).collect::<Vec<_>>(), [(0, 190.0), (1, 190.0)]);
-    assert!((told[0].link - 0.6).abs() < 1e-9 && (told[0].streams - 0.5).abs() < 1e-9, "{told:?}");
-    assert!(f.wait(&mut h, now + 400.0).tell.is_empty(), "once");
+    assert!((told[0].link_use - 0.6).abs() < 1e-9 && (told[0].stream_use - 0.5).abs() < 1e-9, "{told:?}");
+    assert!(f.due_actions(&mut h, now + 400.0).peer_reports.is_empty(), "once");
 }
 
 /// Guards against two fronts that ask each server anew with each request, and fill and shed its link by turns.
@@ -211,19 +235,25 @@
 #[test_case(1 => 0; "alone")]
 fn fronts_tell_each_other_where_they_are_more_than_the_servers(fronts: u32) -> usize {
     let mut f = telling(fronts);
-    f.untold = Some(1_000.0);
-    f.wait(&mut Hand::default(), NOW + 2_000.0).probes.len()
+    f.requests_since_peer_report = Some(1_000.0);
+    f.due_actions(&mut SessionTable::default(), NOW + 2_000.0).probes.len()
 }
 
 #[test_case(100.0 => 0.9; "newer than what was heard")]
 #[test_case(3_000.0 => 0.5; "older")]
 fn what_another_front_tells_counts_where_it_is_newer(age: Ms) -> f64 {
-    let (mut f, mut h) = (telling(41), Hand::default());
-    let news = walnutline::interface::News { server: ServerId(0), streams: 0.5, link: 0.9, age, since: 0.0 };
-    let unknown = walnutline::interface::News { server: ServerId(77), ..news };
-    let unsound = walnutline::interface::News { link: f64::NAN, age: 0.0, ..news };
-    f.peer_told(&mut h, &[unknown, unsound, news], NOW + 1_000.0);
-    f.fleet.servers[&ServerId(0)].link.unwrap().value
+    let (mut f, mut h) = (telling(41), SessionTable::default());
+    let news = walnutline::api::PeerReport {
+        server: ServerId(0),
+        stream_use: 0.5,
+        link_use: 0.9,
+        age,
+        process_age: 0.0,
+    };
+    let unknown = walnutline::api::PeerReport { server: ServerId(77), ..news };
+    let unsound = walnutline::api::PeerReport { link_use: f64::NAN, age: 0.0, ..news };
+    f.record_peer_reports(&mut h, &[unknown, unsound, news], NOW + 1_000.0);
+    f.fleet.servers[&ServerId(0)].link_use.unwrap().value
 }
 
 /// A zone that was cut off is no zone that comes back cold: guards against each front leaving it alone for a whole
@@ -232,14 +262,20 @@
 #[test_case(100.0, 50.0 => (false, 0); "perhaps a new process")]
 #[test_case(1_000.0, 700.0 => (false, 2); "heard before the failure")]
 fn a_server_that_answers_another_front_is_no_dead_one(since: Ms, age: Ms) -> (bool, u32) {
-    let (mut f, mut h) = (telling(41), Hand::default());
-    f.terms.cold = Some(cold());
+    let (mut f, mut h) = (telling(41), SessionTable::default());
+    f.settings.cold_start = Some(cold());
     let s = f.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.died, s.failed, s.fails) = (Some(NOW), NOW, 2);
-    let news = walnutline::interface::News { server: ServerId(0), streams: 0.5, link: 0.5, age, since };
-    f.peer_told(&mut h, &[news], NOW + 500.0);
+    (s.died_at, s.last_failure_at, s.failures) = (Some(NOW), NOW, 2);
+    let news = walnutline::api::PeerReport {
+        server: ServerId(0),
+        stream_use: 0.5,
+        link_use: 0.5,
+        age,
+        process_age: since,
+    };
+    f.record_peer_reports(&mut h, &[news], NOW + 500.0);
     let s = &f.fleet.servers[&ServerId(0)];
-    (s.died.is_none(), s.fails)
+    (s.died_at.is_none(), s.failures)
 }
 
 /// Guards against 300 fronts that each ask a server what one of them has just told all.
@@ -247,30 +283,31 @@
 #[test_case(false => 1; "not told")]
 fn a_server_that_another_front_told_of_is_not_probed(told: bool) -> usize {
     let (mut f, mut h) = (telling(41), hand([playing(0, 1, 0.0)]));
-    f.wait(&mut h, NOW);
+    f.due_actions(&mut h, NOW);
     let later = NOW + 30_000.0;
     if told {
-        let news = walnutline::interface::News {
+        let news = walnutline::api::PeerReport {
             server: ServerId(0),
-            streams: 0.5,
-            link: 0.5,
+            stream_use: 0.5,
+            link_use: 0.5,
             age: 50.0,
-            since: 0.0,
+            process_age: 0.0,
         };
-        f.peer_told(&mut h, &[news], later - 100.0);
+        f.record_peer_reports(&mut h, &[news], later - 100.0);
     }
-    f.wait(&mut h, later).probes.len()
+    f.due_actions(&mut h, later).probes.len()
 }
 
 /// Many fronts with a session each on one link: all hear the same use of 0.5, and have room for 6 steps.
 #[test]
 fn fronts_that_hear_the_same_news_fill_the_room_once() {
     let ups = |seed| {
-        let mut f = front(walnutline::terms::Terms { uplink_kb: 1e6, ..terms() });
+        let mut f = front(walnutline::settings::PolicySettings { uplink_kb_per_s: 1e6, ..terms() });
         f.rng = fastrand::Rng::with_seed(seed);
-        f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = Some(Seen { value: 0.5, at: 0.0, own: 100.0 });
-        f.link_heard(&mut hand([playing(0, 0, 0.0)]), ServerId(0), 0.5, NOW);
-        f.rungs.len()
+        f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+            Some(Measurement { value: 0.5, at: 0.0, own_load: 100.0 });
+        f.record_link_use(&mut hand([playing(0, 0, 0.0)]), ServerId(0), 0.5, NOW);
+        f.rung_changes.len()
     };
     let all: usize = (0..10).map(ups).sum();
     assert!((3..=8).contains(&all), "{all}");
@@ -281,9 +318,9 @@
 #[test_case(-0.5; "below zero")]
 fn a_figure_that_cannot_be_stays_out_of_the_table(value: f64) {
     let mut f = front(terms());
-    f.report(&mut Hand::default(), ServerId(0), &[value, value], NOW + 1.0);
+    f.record_report(&mut SessionTable::default(), ServerId(0), &[value, value], NOW + 1.0);
     let s = &f.fleet.servers[&ServerId(0)];
-    assert_eq!((s.link.unwrap().at, s.streams.unwrap().at), (NOW, NOW));
+    assert_eq!((s.link_use.unwrap().at, s.streams.unwrap().at), (NOW, NOW));
 }
 
 /// A session that no server can use sets none aside; an error counts once another server plays the session, or
@@ -293,60 +330,61 @@
 #[test_case(3, 3, false => 0; "in error everywhere")]
 #[test_case(1, 1, false => 1; "no other may be asked")]
 fn an_error_is_the_servers_or_the_sessions(max_setups: u16, errors: usize, plays: bool) -> usize {
-    let mut f = front(walnutline::terms::Terms { max_setups, ..terms() });
+    let mut f = front(walnutline::settings::PolicySettings { max_setups, ..terms() });
     let mut h = hand([sess()]);
     f.place(&mut h, ONE, NOW);
     for _ in 0..errors {
-        f.after(&mut h, ONE, Ending::Errored, NOW);
+        f.after_outcome(&mut h, ONE, SetupOutcome::Errored, NOW);
     }
     if plays {
-        f.started(&mut h, ONE, NOW);
+        f.session_started(&mut h, ONE, NOW);
     }
-    f.fleet.servers.values().filter(|s| s.fails > 0).count()
+    f.fleet.servers.values().filter(|s| s.failures > 0).count()
 }
 
-#[test_case(Ending::Broken; "broken")]
-#[test_case(Ending::TimedOut; "timed out")]
-#[test_case(Ending::NoConnection; "no connection")]
-fn a_failed_setup_goes_on_to_another_holder(ending: Ending) {
+#[test_case(SetupOutcome::Broken; "broken")]
+#[test_case(SetupOutcome::TimedOut; "timed out")]
+#[test_case(SetupOutcome::NoConnection; "no connection")]
+fn a_failed_setup_goes_on_to_another_holder(ending: SetupOutcome) {
     let mut f = front(terms());
-    let out = Sess { at: Some(ServerId(2)), setups: 1, holders: cells(2, 2), ..sess() };
-    let place = f.after(&mut hand([out]), ONE, ending, NOW);
+    let out = Session { server: Some(ServerId(2)), setup_count: 1, holders: cells(2, 2), ..sess() };
+    let place = f.after_outcome(&mut hand([out]), ONE, ending, NOW);
     assert_eq!(went_to(&place), Some(3));
-    assert!(f.fleet.servers[&ServerId(2)].aside_until > NOW);
+    assert!(f.fleet.servers[&ServerId(2)].excluded_until > NOW);
 }
 
 #[test]
 fn a_fast_erroring_server_does_not_draw_the_next_sessions() {
     let mut f = front(terms());
     let s = f.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.link, s.fails, s.aside_until) = (Some(Seen { value: 0.0, at: NOW, own: 0.0 }), 1, NOW + 1_000.0);
+    (s.link_use, s.failures, s.excluded_until) =
+        (Some(Measurement { value: 0.0, at: NOW, own_load: 0.0 }), 1, NOW + 1_000.0);
     assert_ne!(went_to(&f.place(&mut hand([sess()]), ONE, NOW)), Some(0));
 }
 
 #[test]
 fn when_every_holder_is_aside_one_is_tried_all_the_same() {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.aside_until = NOW + 9_000.0);
+    f.fleet.servers.values_mut().for_each(|s| s.excluded_until = NOW + 9_000.0);
     assert!(went_to(&f.place(&mut hand([sess()]), ONE, NOW)).is_some());
 }
 
-#[test_case(Repeat::Once, Ending::Errored => Place::TornDown; "may have run")]
-#[test_case(Repeat::Once, Ending::BusyReplied => Place::BusyReply { come_back: None }; "never ran")]
-#[test_case(Repeat::Keyed(Scope::Zone), Ending::TimedOut => Place::TornDown; "key of one zone")]
-fn no_set_up_happens_twice(repeat: Repeat, ending: Ending) -> Place {
-    let mut t = walnutline::terms::Terms { come_back: None, ..terms() };
-    t.groups[0].repeat = repeat;
+#[test_case(RepeatPolicy::Once, SetupOutcome::Errored => Placement::TornDown; "may have run")]
+#[test_case(RepeatPolicy::Once, SetupOutcome::BusyReplied => Placement::BusyReply { come_back: None }; "never ran")]
+#[test_case(RepeatPolicy::Keyed(KeyScope::Zone), SetupOutcome::TimedOut => Placement::TornDown; "key of one zone")]
+fn no_set_up_happens_twice(repeat: RepeatPolicy, ending: SetupOutcome) -> Placement {
+    let mut t = walnutline::settings::PolicySettings { max_retry_after: None, ..terms() };
+    t.service_groups[0].repeat = repeat;
     let mut f = front(t);
     // The other holder stands in another zone, or is gone where the first one gave a busy reply.
     let other = &mut f.fleet.servers.get_mut(&ServerId(2)).unwrap().listed;
-    other.zone = ZoneNo(1);
-    if ending == Ending::BusyReplied {
-        other.listing = Listing::Gone;
+    other.zone = ZoneIndex(1);
+    if ending == SetupOutcome::BusyReplied {
+        other.state = ServerState::Gone;
     }
-    f.fleet.servers.get_mut(&ServerId(3)).unwrap().listed.listing = Listing::Draining;
-    let out = Sess { at: Some(ServerId(3)), setups: 1, holders: cells(2, 2), ..sess() };
-    f.after(&mut hand([out]), ONE, ending, NOW)
+    f.fleet.servers.get_mut(&ServerId(3)).unwrap().listed.state = ServerState::Draining;
+    let out = Session { server: Some(ServerId(3)), setup_count: 1, holders: cells(2, 2), ..sess() };
+    f.after_outcome(&mut hand([out]), ONE, ending, NOW)
 }
 
 #[test_case(20.0, 0 => false; "its time is up")]
@@ -354,7 +392,7 @@
 #[test_case(3_000.0, 3 => true; "one is left")]
 fn an_answer_comes_before_the_viewer_gives_up(left: Ms, setups: u16) -> bool {
     let mut f = front(terms());
-    let mut h = hand([Sess { until: NOW + left, setups, ..sess() }]);
+    let mut h = hand([Session { viewer_deadline: NOW + left, setup_count: setups, ..sess() }]);
     went_to(&f.place(&mut h, ONE, NOW)).is_some()
 }
 
@@ -362,8 +400,8 @@
 #[test_case(1, 2 => true; "one free")]
 fn seats_are_kept(held: usize, seats: u32) -> bool {
     let mut t = terms();
-    t.groups[0].seats = seats;
-    let others = (0..held).map(|i| Sess { playing: i > 0, ..playing(0, 0, 0.0) });
+    t.service_groups[0].max_sessions_per_title = seats;
+    let others = (0..held).map(|i| Session { playing: i > 0, ..playing(0, 0, 0.0) });
     let mut h = hand([sess()].into_iter().chain(others));
     went_to(&front(t).place(&mut h, ONE, NOW)).is_some()
 }
@@ -371,22 +409,22 @@
 #[test]
 fn no_rung_under_the_floor_is_set() {
     let mut t = terms();
-    t.groups[0].floor = 1;
+    t.service_groups[0].lowest_rung = 1;
     let mut f = front(t);
     let mut h = hand([playing(0, 1, 0.0)]);
-    f.link_heard(&mut h, ServerId(0), 4.0, NOW);
-    assert!(f.rungs.is_empty());
+    f.record_link_use(&mut h, ServerId(0), 4.0, NOW);
+    assert!(f.rung_changes.is_empty());
 }
 
 #[test_case(5, 1 => true; "the free one and a fifth of five")]
 #[test_case(5, 2 => false; "spent")]
 #[test_case(0, 0 => true; "the free one")]
 fn further_setups_stay_within_the_budget(taken: usize, sent: usize) -> bool {
-    let mut f = front(walnutline::terms::Terms { budget: Some(budget()), ..terms() });
+    let mut f = front(walnutline::settings::PolicySettings { retry_budget: Some(budget()), ..terms() });
     f.taken.extend((0..taken).map(|i| NOW - 9_000.0 + i as f64));
-    f.further.extend((0..sent).map(|i| NOW - 5_000.0 + i as f64));
-    let out = Sess { at: Some(ServerId(0)), setups: 1, ..sess() };
-    went_to(&f.after(&mut hand([out]), ONE, Ending::Errored, NOW)).is_some()
+    f.retry_times.extend((0..sent).map(|i| NOW - 5_000.0 + i as f64));
+    let out = Session { server: Some(ServerId(0)), setup_count: 1, ..sess() };
+    went_to(&f.after_outcome(&mut hand([out]), ONE, SetupOutcome::Errored, NOW)).is_some()
 }
 
 /// Fronts that all send whenever they may stay within the budget of a cold server, in every span.
@@ -396,8 +434,13 @@
 fn all_fronts_together_spare_a_cold_server(fronts: u32, streams: f64, used: bool) {
     let mut all: Vec<_> = (0..fronts)
         .map(|_| {
-            let t = walnutline::terms::Terms { fronts, cold: Some(cold()), ..terms() };
-            let mut f = front(walnutline::terms::Terms { kind_streams: vec![streams], ..t });
+            let t = walnutline::settings::PolicySettings {
+                front_count: fronts,
+                cold_start: Some(cold()),
+                ..terms()
+            };
+            let mut f =
+                front(walnutline::settings::PolicySettings { max_streams_by_kind: vec![streams], ..t });
             f.fleet.servers.get_mut(&ServerId(0)).unwrap().listed.started = Some(NOW);
             f
         })
@@ -406,27 +449,32 @@
     for ms in (0..9_990).step_by(10) {
         let now = NOW + ms as f64;
         for f in &mut all {
-            let mut h = hand([Sess { holders: cells(0, 1), came: now, until: now + 3_000.0, ..sess() }]);
+            let mut h = hand([Session {
+                holders: cells(0, 1),
+                arrived_at: now,
+                viewer_deadline: now + 3_000.0,
+                ..sess()
+            }]);
             if went_to(&f.place(&mut h, ONE, now)).is_some() {
                 sent.push(now);
             }
         }
     }
     let c = cold();
-    let budget = c.multiple * streams / c.lasts * c.from * c.span;
+    let budget = c.rate_multiple * streams / c.duration * c.initial_share * c.span;
     let most = sent.iter().map(|t| sent.iter().filter(|u| **u >= *t && **u < t + c.span).count()).max();
     assert_eq!(used, !sent.is_empty());
     assert!(most.unwrap_or(0) as f64 <= budget, "{most:?} of {budget}");
 }
 
-#[test_case(Ending::NoConnection; "no connection")]
-#[test_case(Ending::Broken; "broken")]
-fn a_server_seen_to_die_counts_as_cold_when_it_answers_again(ending: Ending) {
-    let mut f = front(walnutline::terms::Terms { cold: Some(cold()), ..terms() });
-    f.terms.kind_streams = vec![2.0];
-    let out = Sess { at: Some(ServerId(0)), setups: 1, holders: cells(0, 1), ..sess() };
-    let place = f.after(&mut hand([out]), ONE, ending, NOW);
-    assert!(matches!(place, Place::NotYet | Place::BusyReply { .. }), "{place:?}");
+#[test_case(SetupOutcome::NoConnection; "no connection")]
+#[test_case(SetupOutcome::Broken; "broken")]
+fn a_server_seen_to_die_counts_as_cold_when_it_answers_again(ending: SetupOutcome) {
+    let mut f = front(walnutline::settings::PolicySettings { cold_start: Some(cold()), ..terms() });
+    f.settings.max_streams_by_kind = vec![2.0];
+    let out = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 1), ..sess() };
+    let place = f.after_outcome(&mut hand([out]), ONE, ending, NOW);
+    assert!(matches!(place, Placement::NotYet | Placement::BusyReply { .. }), "{place:?}");
 }
 
 #[test]
@@ -443,8 +491,10 @@
 #[test_case(1_600.0 => 1; "once it is over")]
 fn what_is_left_of_the_room_serves_later_steps(ago: Ms) -> usize {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().room_kb = 1_000.0;
-    f.wait(&mut hand([Sess { stepped: NOW - ago, ..playing(0, 0, 0.0) }]), NOW).rungs.len()
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().spare_kb_per_s = 1_000.0;
+    f.due_actions(&mut hand([Session { rung_set_at: NOW - ago, ..playing(0, 0, 0.0) }]), NOW)
+        .rung_changes
+        .len()
 }
 
 #[test_case(1 => 0; "one session: not yet")]
@@ -452,18 +502,19 @@
 fn a_server_is_probed_in_the_pace_of_the_sessions_there(sessions: u32) -> usize {
     let mut f = front(terms());
     let mut h = hand((0..sessions).map(|_| playing(0, 2, 0.0)));
-    f.wait(&mut h, NOW);
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().probe_at = Some(NOW);
-    f.wait(&mut h, NOW);
-    f.wait(&mut h, NOW + 12_000.0).probes.len()
+    f.due_actions(&mut h, NOW);
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().next_probe_at = Some(NOW);
+    f.due_actions(&mut h, NOW);
+    f.due_actions(&mut h, NOW + 12_000.0).probes.len()
 }
 
 #[test_case(2 => true; "its own stand high elsewhere")]
 #[test_case(0 => false; "its own stand at the lowest")]
 fn a_full_link_without_own_sessions_is_judged_by_the_height_of_own_ones(rung: u8) -> bool {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link = Some(Seen { value: 0.97, at: NOW, own: 0.0 });
-    let mut h = hand([Sess { holders: cells(0, 1), ..sess() }, playing(3, rung, 0.0)]);
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
+        Some(Measurement { value: 0.97, at: NOW, own_load: 0.0 });
+    let mut h = hand([Session { holders: cells(0, 1), ..sess() }, playing(3, rung, 0.0)]);
     went_to(&f.place(&mut h, ONE, NOW)).is_some()
 }
 
@@ -471,68 +522,69 @@
 #[test_case(1.0, 30_000.0 => false; "news that has aged")]
 #[test_case(0.2, 900.0 => false; "news of room")]
 fn only_what_was_heard_turns_a_request_away(uplink: f64, ago: Ms) -> bool {
-    let mut f = front(walnutline::terms::Terms { may_probe: false, ..terms() });
-    f.fleet.servers.values_mut().for_each(|s| s.link = None);
-    let rack = f.fleet.racks.entry(RackNo(0)).or_default();
-    rack.uplink = Some(Seen { value: uplink, at: NOW - ago, own: 0.0 });
-    let mut h = hand([Sess { holders: cells(0, 1), ..sess() }, playing(1, 0, 0.0)]);
-    matches!(f.place(&mut h, ONE, NOW), Place::BusyReply { .. })
+    let mut f = front(walnutline::settings::PolicySettings { probes_allowed: false, ..terms() });
+    f.fleet.servers.values_mut().for_each(|s| s.link_use = None);
+    let rack = f.fleet.racks.entry(RackId(0)).or_default();
+    rack.uplink_use = Some(Measurement { value: uplink, at: NOW - ago, own_load: 0.0 });
+    let mut h = hand([Session { holders: cells(0, 1), ..sess() }, playing(1, 0, 0.0)]);
+    matches!(f.place(&mut h, ONE, NOW), Placement::BusyReply { .. })
 }
 
 #[test]
 fn an_uplink_not_heard_from_counts_as_the_average_of_uplinks() {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.link.as_mut().unwrap().value = 0.1);
-    f.fleet.racks.entry(RackNo(0)).or_default().uplink = Some(Seen { value: 0.95, at: NOW, own: 0.0 });
-    let place = f.place(&mut hand([Sess { holders: cells(1, 1), ..sess() }]), ONE, NOW);
-    assert!(matches!(place, Place::Setup { rung: 0, .. }), "{place:?}");
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.1);
+    f.fleet.racks.entry(RackId(0)).or_default().uplink_use =
+        Some(Measurement { value: 0.95, at: NOW, own_load: 0.0 });
+    let place = f.place(&mut hand([Session { holders: cells(1, 1), ..sess() }]), ONE, NOW);
+    assert!(matches!(place, Placement::Setup { rung: 0, .. }), "{place:?}");
 }
 
 #[test_case(100.0 => (true, 0); "fresh news: it goes at once")]
 #[test_case(5_000.0 => (false, 1); "old news: the holder is asked")]
 fn a_holder_with_old_news_is_asked_before_a_session_goes_there(ago: Ms) -> (bool, usize) {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.link.as_mut().unwrap().at = NOW - ago);
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().at = NOW - ago);
     let mut h = hand([sess()]);
     let place = f.place(&mut h, ONE, NOW);
-    (went_to(&place).is_some(), f.wait(&mut h, NOW).probes.len())
+    (went_to(&place).is_some(), f.due_actions(&mut h, NOW).probes.len())
 }
 
-#[test_case(Some(Ending::Done), 20.0 => true; "answered")]
+#[test_case(Some(SetupOutcome::Done), 20.0 => true; "answered")]
 #[test_case(None, 20.0 => false; "not yet answered")]
 #[test_case(None, 250.0 => true; "the answer is lost")]
-fn a_session_waits_for_the_answer_but_not_for_long(answer: Option<Ending>, later: Ms) -> bool {
+fn a_session_waits_for_the_answer_but_not_for_long(answer: Option<SetupOutcome>, later: Ms) -> bool {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.link = None);
+    f.fleet.servers.values_mut().for_each(|s| s.link_use = None);
     let mut h = hand([sess()]);
     f.place(&mut h, ONE, NOW);
-    let asked = f.wait(&mut h, NOW).probes[0];
+    let asked = f.due_actions(&mut h, NOW).probes[0];
     if let Some(ending) = answer {
-        f.probed(&mut h, asked, ending, NOW + later);
+        f.probe_finished(&mut h, asked, ending, NOW + later);
     }
-    f.wait(&mut h, NOW + later).place == [ONE]
+    f.due_actions(&mut h, NOW + later).sessions_to_place == [ONE]
 }
 
 #[test_case(500.0 => Some(1); "just now")]
 #[test_case(1_500.0 => Some(0); "a while ago")]
 fn a_busy_reply_counts_for_a_while(ago: Ms) -> Option<u32> {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link.as_mut().unwrap().value = 0.1;
-    let out = Sess { at: Some(ServerId(0)), setups: 1, holders: cells(0, 2), ..sess() };
-    f.after(&mut hand([out]), ONE, Ending::BusyReplied, NOW - ago);
-    f.fleet.servers.values_mut().for_each(|s| s.link.as_mut().unwrap().at = NOW);
-    went_to(&f.place(&mut hand([Sess { holders: cells(0, 2), ..sess() }]), ONE, NOW))
+    f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use.as_mut().unwrap().value = 0.1;
+    let out = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 2), ..sess() };
+    f.after_outcome(&mut hand([out]), ONE, SetupOutcome::BusyReplied, NOW - ago);
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().at = NOW);
+    went_to(&f.place(&mut hand([Session { holders: cells(0, 2), ..sess() }]), ONE, NOW))
 }
 
 #[test_case(0 => 2; "calm")]
 #[test_case(3 => 0; "three came to this front within the delay of news")]
 fn a_crowd_is_taken_to_come_to_all_fronts(came: u32) -> u8 {
-    let mut f = front(walnutline::terms::Terms { fronts: 4, ..terms() });
-    f.fleet.servers.values_mut().for_each(|s| s.link.as_mut().unwrap().value = 0.3);
-    let lately = |_| Sess { changed: NOW - 100.0, ..playing(3, 2, NOW) };
-    let mut h = hand([Sess { holders: cells(0, 1), ..sess() }].into_iter().chain((0..came).map(lately)));
+    let mut f = front(walnutline::settings::PolicySettings { front_count: 4, ..terms() });
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.3);
+    let lately = |_| Session { rate_changed_at: NOW - 100.0, ..playing(3, 2, NOW) };
+    let mut h = hand([Session { holders: cells(0, 1), ..sess() }].into_iter().chain((0..came).map(lately)));
     match f.place(&mut h, ONE, NOW) {
-        Place::Setup { rung, .. } => rung,
+        Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
 }
@@ -543,8 +595,8 @@
     let mut f = front(terms());
     let here = (0..2).map(|_| playing(0, 2, 0.0));
     let mut h = hand(here.chain((0..8).map(|_| playing(3, elsewhere, 0.0))));
-    f.share_heard(&mut h, ServerId(0), share, NOW);
-    f.rungs.len()
+    f.record_delivered_share(&mut h, ServerId(0), share, NOW);
+    f.rung_changes.len()
 }
 
 /// Found on crowds for titles that are heavier than the ladder says: by its rates they all fitted.
@@ -554,83 +606,90 @@
 #[test_case(Some(vec![800.0]) => 2; "rates that do not fit the ladder tell nothing")]
 fn true_rates_count_where_they_are_known(rates: Option<Vec<f64>>) -> u8 {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.link = Some(Seen { value: 0.48, at: NOW, own: 0.0 }));
-    let request = walnutline::interface::Request {
-        group: GroupNo(0),
+    f.fleet
+        .servers
+        .values_mut()
+        .for_each(|s| s.link_use = Some(Measurement { value: 0.48, at: NOW, own_load: 0.0 }));
+    let request = walnutline::api::Request {
+        group: GroupIndex(0),
         title: TitleId(9),
         holders: cells(0, 4),
-        rates: rates.map(Into::into),
-        top: 2,
+        rates_kb_per_s: rates.map(Into::into),
+        highest_rung: 2,
         left: 3_000.0,
     };
-    let mut h = Hand::default();
-    f.taken(&mut h, ONE, request, NOW);
-    let Place::Setup { server, rung, .. } = f.place(&mut h, ONE, NOW) else { panic!("no SETUP") };
-    let asked = h.loads(&f.terms)[&server].kb;
-    assert_eq!(asked, h.sess[&ONE].rate(&f.terms, rung));
+    let mut h = SessionTable::default();
+    f.add_request(&mut h, ONE, request, NOW);
+    let Placement::Setup { server, rung, .. } = f.place(&mut h, ONE, NOW) else { panic!("no SETUP") };
+    let asked = h.loads(&f.settings)[&server].kb_per_s;
+    assert_eq!(asked, h.sessions[&ONE].rate(&f.settings, rung));
     rung
 }
 
 /// A session that this front gives up on has its answer at once, however long its viewer would wait. Guards against
 /// viewers kept from looking elsewhere; they are told when to come back.
-#[test_case(|_, s| s.until = NOW + 20.0; "its time is up")]
-#[test_case(|_, s| s.setups = 4; "all SETUPs are used")]
-#[test_case(|f, s| { f.terms.budget = Some(budget()); f.further.extend([NOW, NOW]); s.setups = 1 }; "budget spent")]
-#[test_case(|f, s| { f.terms.groups[0].seats = 1; s.title = TitleId(1) }; "seats taken")]
+#[test_case(|_, s| s.viewer_deadline = NOW + 20.0; "its time is up")]
+#[test_case(|_, s| s.setup_count = 4; "all SETUPs are used")]
+#[test_case(|f, s| { f.settings.retry_budget = Some(budget()); f.retry_times.extend([NOW, NOW]); s.setup_count = 1 }; "budget spent")]
+#[test_case(|f, s| { f.settings.service_groups[0].max_sessions_per_title = 1; s.title = TitleId(1) }; "seats taken")]
 #[test_case(|_, s| s.holders = cells(0, 0); "held nowhere")]
 #[test_case(|f, _| f.fleet.servers.clear(); "an empty list")]
-#[test_case(|f, _| each(f, |s| s.listed.listing = Listing::Gone); "all gone")]
-#[test_case(|f, _| each(f, |s| s.listed.listing = Listing::Draining); "all draining")]
-#[test_case(|f, _| each(f, |s| s.link.as_mut().unwrap().value = 2.0); "all full")]
+#[test_case(|f, _| each(f, |s| s.listed.state = ServerState::Gone); "all gone")]
+#[test_case(|f, _| each(f, |s| s.listed.state = ServerState::Draining); "all draining")]
+#[test_case(|f, _| each(f, |s| s.link_use.as_mut().unwrap().value = 2.0); "all full")]
 #[test_case(|f, _| each(f, |s| s.busy_until = NOW + 1_000.0); "all busy")]
-#[test_case(|f, _| { (f.terms.fronts, f.terms.cold) = (200, Some(cold())); each(f, |s| s.listed.started = Some(NOW)) }; "all cold for long")]
-fn what_is_given_up_is_answered_at_once(why: fn(&mut walnutline::front::Front, &mut Sess)) {
+#[test_case(|f, _| { (f.settings.front_count, f.settings.cold_start) = (200, Some(cold())); each(f, |s| s.listed.started = Some(NOW)) }; "all cold for long")]
+fn what_is_given_up_is_answered_at_once(why: fn(&mut walnutline::state::FrontState, &mut Session)) {
     let (mut f, mut s) = (front(terms()), sess());
     // One session plays, and stands at its lowest rung.
-    let one = Sess { title: TitleId(1), ..playing(0, 0, 0.0) };
+    let one = Session { title: TitleId(1), ..playing(0, 0, 0.0) };
     why(&mut f, &mut s);
     let mut h = hand([s, one]);
     let place = f.place(&mut h, ONE, NOW);
     assert!(
-        matches!(place, Place::BusyReply { come_back: Some(t) } if (250.0..=500.0).contains(&t)),
+        matches!(place, Placement::BusyReply { come_back: Some(t) } if (250.0..=500.0).contains(&t)),
         "{place:?}"
     );
-    assert!(!h.sess.contains_key(&ONE));
+    assert!(!h.sessions.contains_key(&ONE));
 }
 
-fn each(f: &mut walnutline::front::Front, with: fn(&mut walnutline::fleet::Server)) {
+fn each(f: &mut walnutline::state::FrontState, with: fn(&mut walnutline::fleet::Server)) {
     f.fleet.servers.values_mut().for_each(with);
 }
 
 /// A session is held for a server's answer no longer than that server takes anything.
-#[test_case(Listing::Ready => false; "it may still answer")]
-#[test_case(Listing::Draining => true; "it drains")]
-#[test_case(Listing::Gone => true; "it is gone")]
-fn no_session_waits_for_a_server_that_leaves(listing: Listing) -> bool {
+#[test_case(ServerState::Ready => false; "it may still answer")]
+#[test_case(ServerState::Draining => true; "it drains")]
+#[test_case(ServerState::Gone => true; "it is gone")]
+fn no_session_waits_for_a_server_that_leaves(listing: ServerState) -> bool {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.link = None);
+    f.fleet.servers.values_mut().for_each(|s| s.link_use = None);
     let mut h = hand([sess()]);
-    assert_eq!(f.place(&mut h, ONE, NOW), Place::NotYet);
-    let asked = f.wait(&mut h, NOW).probes[0];
-    f.fleet.servers.get_mut(&asked).unwrap().listed.listing = listing;
-    f.wait(&mut h, NOW + 10.0).place == [ONE]
+    assert_eq!(f.place(&mut h, ONE, NOW), Placement::NotYet);
+    let asked = f.due_actions(&mut h, NOW).probes[0];
+    f.fleet.servers.get_mut(&asked).unwrap().listed.state = listing;
+    f.due_actions(&mut h, NOW + 10.0).sessions_to_place == [ONE]
 }
 
 /// A list as no settings foretell it: a new zone, kind or cell, a server named twice.
 #[test]
 fn servers_of_an_unknown_place_and_kind_are_used_all_the_same() {
-    let mut f = front(walnutline::terms::Terms { may_probe: false, cold: Some(cold()), ..terms() });
-    let strange = walnutline::fleet::Listed {
-        zone: ZoneNo(9),
-        kind: KindNo(255),
-        cell: CellNo(4_001),
+    let mut f = front(walnutline::settings::PolicySettings {
+        probes_allowed: false,
+        cold_start: Some(cold()),
+        ..terms()
+    });
+    let strange = walnutline::fleet::ListEntry {
+        zone: ZoneIndex(9),
+        kind: KindIndex(255),
+        cell: CellId(4_001),
         ..server(7).listed
     };
-    f.listed_all(vec![strange.clone(), strange, server(1).listed]);
+    f.replace_server_list(vec![strange.clone(), strange, server(1).listed]);
     for (id, used) in [(7, 0.4), (1, 0.5)] {
         let s = f.fleet.servers.get_mut(&ServerId(id)).unwrap();
-        s.link = Some(Seen { value: used, at: NOW, own: 0.0 });
-        s.streams = Some(Seen { value: 5.0, at: NOW, own: 0.0 });
+        s.link_use = Some(Measurement { value: used, at: NOW, own_load: 0.0 });
+        s.streams = Some(Measurement { value: 5.0, at: NOW, own_load: 0.0 });
     }
     assert_eq!(went_to(&f.place(&mut hand([sess()]), ONE, NOW)), Some(7), "it has more room");
 }
@@ -638,34 +697,34 @@
 /// Where no size of uplinks is told, they hold nothing up.
 #[test]
 fn an_uplink_without_a_size_is_not_taken_for_a_full_one() {
-    let mut f = front(walnutline::terms::Terms { uplink_kb: f64::INFINITY, ..terms() });
-    f.fleet.servers.values_mut().for_each(|s| s.link.as_mut().unwrap().value = 0.1);
+    let mut f = front(walnutline::settings::PolicySettings { uplink_kb_per_s: f64::INFINITY, ..terms() });
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.1);
     let mut h = hand([sess(), playing(0, 0, 0.0)]);
-    assert!(matches!(f.place(&mut h, ONE, NOW), Place::Setup { rung: 2, .. }));
-    f.link_heard(&mut h, ServerId(0), 0.1, NOW + 5_000.0);
-    assert_eq!(f.wait(&mut h, NOW + 5_000.0).rungs, [(SessId(2), 1)]);
+    assert!(matches!(f.place(&mut h, ONE, NOW), Placement::Setup { rung: 2, .. }));
+    f.record_link_use(&mut h, ServerId(0), 0.1, NOW + 5_000.0);
+    assert_eq!(f.due_actions(&mut h, NOW + 5_000.0).rung_changes, [(SessionId(2), 1)]);
 }
 
 /// A change that costs more than a rung does goes further down at once, and up again only by one that lasts.
 #[test_case(0.0, 2 => vec![(ONE, 1)]; "free: one rung")]
 #[test_case(1_000.0, 2 => vec![(ONE, 1)]; "cheap: one rung")]
 #[test_case(20_000.0, 2 => vec![(ONE, 0)]; "costly: as far as makes it worth it")]
-fn a_costly_step_down_goes_further(change_cost: Ms, rung: u8) -> Vec<(SessId, u8)> {
-    let mut f = front(walnutline::terms::Terms { change_cost, ..terms() });
-    f.link_heard(&mut hand([playing(0, rung, 0.0)]), ServerId(0), 20.0, NOW);
-    f.rungs
+fn a_costly_step_down_goes_further(change_cost: Ms, rung: u8) -> Vec<(SessionId, u8)> {
+    let mut f = front(walnutline::settings::PolicySettings { rung_change_cost: change_cost, ..terms() });
+    f.record_link_use(&mut hand([playing(0, rung, 0.0)]), ServerId(0), 20.0, NOW);
+    f.rung_changes
 }
 
 #[test_case(0.0 => 1; "free")]
 #[test_case(1_000.0 => 1; "earned back in two and a half seconds")]
 #[test_case(3_000.0 => 0; "earned back only later")]
 fn a_session_steps_up_once_it_is_likely_to_earn_the_change_back(change_cost: Ms) -> usize {
-    let mut f = front(walnutline::terms::Terms { change_cost, ..terms() });
-    let stands = Sess { stepped: NOW - 5_000.0, ..playing(0, 1, 0.0) };
-    let one = &mut f.fleet.servers.get_mut(&ServerId(0)).unwrap().link;
-    *one = Some(Seen { value: 0.4, at: NOW - 5_000.0, own: 200.0 });
-    f.link_heard(&mut hand([stands]), ServerId(0), 0.4, NOW);
-    f.rungs.len()
+    let mut f = front(walnutline::settings::PolicySettings { rung_change_cost: change_cost, ..terms() });
+    let stands = Session { rung_set_at: NOW - 5_000.0, ..playing(0, 1, 0.0) };
+    let one = &mut f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use;
+    *one = Some(Measurement { value: 0.4, at: NOW - 5_000.0, own_load: 200.0 });
+    f.record_link_use(&mut hand([stands]), ServerId(0), 0.4, NOW);
+    f.rung_changes.len()
 }
 
 /// Guards against more being paid for news than it can earn, where probes are dear.
@@ -673,40 +732,40 @@
 #[test_case(0.01, -1.0 => true; "paid for")]
 #[test_case(0.15, 2.0 => false; "the sessions so far have not paid for more")]
 fn a_holder_is_asked_as_far_as_sessions_pay_for_it(probe_cost: f64, probe_debt: f64) -> bool {
-    let mut f = front(walnutline::terms::Terms { probe_cost, ..terms() });
-    each(&mut f, |s| s.link = None);
+    let mut f = front(walnutline::settings::PolicySettings { probe_cost, ..terms() });
+    each(&mut f, |s| s.link_use = None);
     f.probe_debt = probe_debt;
     let mut h = hand([sess()]);
     let place = f.place(&mut h, ONE, NOW);
-    f.wait(&mut h, NOW);
-    assert_eq!(f.probe_debt > probe_debt, place == Place::NotYet && probe_cost > 0.0);
-    place == Place::NotYet
+    f.due_actions(&mut h, NOW);
+    assert_eq!(f.probe_debt > probe_debt, place == Placement::NotYet && probe_cost > 0.0);
+    place == Placement::NotYet
 }
 
 /// Guards against a server that looks the smaller the more it carries, where its listed weight moves with its load.
-#[test_case(Weights::Size => 0; "the weight as it is listed")]
-#[test_case(Weights::Live => 2; "the largest that was listed")]
-fn a_weight_that_moves_with_load_is_no_smaller_link(weights: Weights) -> u8 {
-    let mut f = front(walnutline::terms::Terms { weights, ..terms() });
+#[test_case(WeightKind::Capacity => 0; "the weight as it is listed")]
+#[test_case(WeightKind::LoadAdjusted => 2; "the largest that was listed")]
+fn a_weight_that_moves_with_load_is_no_smaller_link(weights: WeightKind) -> u8 {
+    let mut f = front(walnutline::settings::PolicySettings { weight_kind: weights, ..terms() });
     for weight in [1.0, 0.2] {
-        f.listed(walnutline::fleet::Listed { weight, ..server(0).listed });
+        f.update_server(walnutline::fleet::ListEntry { weight, ..server(0).listed });
     }
-    match f.place(&mut hand([Sess { holders: cells(0, 1), ..sess() }]), ONE, NOW) {
-        Place::Setup { rung, .. } => rung,
+    match f.place(&mut hand([Session { holders: cells(0, 1), ..sess() }]), ONE, NOW) {
+        Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
 }
 
 /// Guards against sessions held for answers that can tell nothing, and paid for.
-#[test_case(vec![Column::Streams, Column::Link] => (false, 1); "of the link")]
-#[test_case(vec![Column::Other] => (true, 0); "of nothing that counts")]
+#[test_case(vec![ReportColumn::Streams, ReportColumn::Link] => (false, 1); "of the link")]
+#[test_case(vec![ReportColumn::Other] => (true, 0); "of nothing that counts")]
 #[test_case(vec![] => (true, 0); "of nothing at all")]
-fn a_holder_is_asked_only_for_what_its_answer_tells(columns: Vec<Column>) -> (bool, usize) {
-    let mut f = front(walnutline::terms::Terms { columns, ..terms() });
-    each(&mut f, |s| s.link = None);
+fn a_holder_is_asked_only_for_what_its_answer_tells(columns: Vec<ReportColumn>) -> (bool, usize) {
+    let mut f = front(walnutline::settings::PolicySettings { report_columns: columns, ..terms() });
+    each(&mut f, |s| s.link_use = None);
     let mut h = hand([sess()]);
     let place = f.place(&mut h, ONE, NOW);
-    (went_to(&place).is_some(), f.wait(&mut h, NOW).probes.len())
+    (went_to(&place).is_some(), f.due_actions(&mut h, NOW).probes.len())
 }
 
 /// Guards against a crowd that is turned away together and comes back together.
@@ -714,34 +773,34 @@
 fn those_turned_away_together_do_not_come_back_together() {
     let mut f = front(terms());
     f.fleet.servers.clear();
-    let told = |f: &mut walnutline::front::Front| match f.place(&mut hand([sess()]), ONE, NOW) {
-        Place::BusyReply { come_back: Some(t) } => t as u32 / 50,
+    let told = |f: &mut walnutline::state::FrontState| match f.place(&mut hand([sess()]), ONE, NOW) {
+        Placement::BusyReply { come_back: Some(t) } => t as u32 / 50,
         other => panic!("{other:?}"),
     };
     let when: std::collections::BTreeSet<u32> = (0..40).map(|_| told(&mut f)).collect();
     assert!(when.len() >= 5, "{when:?}");
 }
 
-fn following(way: ListWay) -> walnutline::front::Front {
-    front(walnutline::terms::Terms { list: way, ..terms() })
+fn following(way: ListDelivery) -> walnutline::state::FrontState {
+    front(walnutline::settings::PolicySettings { list_delivery: way, ..terms() })
 }
 
 /// When a front asks for the list, in milliseconds from now, until the given time.
-fn calls(f: &mut walnutline::front::Front, from: Ms, until: Ms) -> Vec<Ms> {
+fn calls(f: &mut walnutline::state::FrontState, from: Ms, until: Ms) -> Vec<Ms> {
     let mut h = hand([]);
     let times = (from as u64..until as u64).step_by(10).map(|t| t as Ms);
-    times.filter(|t| f.wait(&mut h, NOW + t).ask_list).collect()
+    times.filter(|t| f.due_actions(&mut h, NOW + t).request_list).collect()
 }
 
-const FOLLOWED: ListWay = ListWay::Followed { told_after: 10_000.0 };
+const FOLLOWED: ListDelivery = ListDelivery::Watched { assumed_known_after: 10_000.0 };
 
-#[test_case(ListWay::Pushed, 200.0 => (0, 0); "it comes by itself")]
+#[test_case(ListDelivery::Pushed, 200.0 => (0, 0); "it comes by itself")]
 #[test_case(FOLLOWED, 2_500.0 => (1, 0); "once, within a quarter of the time")]
-#[test_case(ListWay::Followed { told_after: Ms::INFINITY }, 3_750.0 => (1, 0); "once, though no time is stated")]
-#[test_case(ListWay::Asked { grace: 250.0 }, 200.0 => (1, 5); "every 200 ms, within the grace")]
-#[test_case(ListWay::Asked { grace: 1_000.0 }, 500.0 => (1, 2); "no more seldom than every 500 ms")]
-#[test_case(ListWay::Asked { grace: Ms::INFINITY }, 500.0 => (1, 2); "no grace is stated: not all the time")]
-fn the_list_is_asked_for_where_it_does_not_come(way: ListWay, first: Ms) -> (usize, usize) {
+#[test_case(ListDelivery::Watched { assumed_known_after: Ms::INFINITY }, 3_750.0 => (1, 0); "once, though no time is stated")]
+#[test_case(ListDelivery::Polled { grace: 250.0 }, 200.0 => (1, 5); "every 200 ms, within the grace")]
+#[test_case(ListDelivery::Polled { grace: 1_000.0 }, 500.0 => (1, 2); "no more seldom than every 500 ms")]
+#[test_case(ListDelivery::Polled { grace: Ms::INFINITY }, 500.0 => (1, 2); "no grace is stated: not all the time")]
+fn the_list_is_asked_for_where_it_does_not_come(way: ListDelivery, first: Ms) -> (usize, usize) {
     let mut f = following(way);
     (calls(&mut f, 0.0, first + 10.0).len(), calls(&mut f, first + 10.0, first + 1_010.0).len())
 }
@@ -752,19 +811,19 @@
     let mut f = following(FOLLOWED);
     let first = calls(&mut f, 0.0, 2_510.0)[0];
     assert_eq!(calls(&mut f, first + 10.0, first + 10_020.0).len(), 1, "nothing was answered");
-    f.list_told();
+    f.list_received();
     assert_eq!(calls(&mut f, 20_000.0, 60_000.0), Vec::<Ms>::new(), "told: changes come by themselves");
     let mut waits = Vec::new();
     let mut now = 60_000.0;
     for _ in 0..6 {
-        f.list_failed(NOW + now);
+        f.list_call_failed(NOW + now);
         let next = calls(&mut f, now, now + 10_020.0)[0];
         waits.push(next - now);
         now = next;
     }
     assert!(waits[0] <= 760.0 && waits[5] > 5_000.0, "{waits:?}");
-    f.list_told();
-    f.list_failed(NOW + now);
+    f.list_received();
+    f.list_call_failed(NOW + now);
     assert!(calls(&mut f, now, now + 760.0).len() == 1, "an answer in between begins anew");
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -5,12 +5,12 @@
 
 use support::*;
 use test_case::test_case;
-use walnutline::fleet::Listed;
-use walnutline::front::Front;
-use walnutline::hand::Sess;
+use walnutline::api::Placement;
+use walnutline::fleet::ListEntry;
 use walnutline::ids::*;
-use walnutline::interface::Place;
-use walnutline::terms::{ColdTerms, Terms};
+use walnutline::sessions::Session;
+use walnutline::settings::{ColdStartSettings, PolicySettings};
+use walnutline::state::FrontState;
 
 /// How long a SETUP may wait for its connection after it was decided.
 const LATE: Ms = 250.0;
@@ -29,14 +29,25 @@
 }
 
 impl Fleet {
-    fn front(&self, n: u32, rng: &mut fastrand::Rng, now: Ms) -> Front {
-        let cold = ColdTerms { lasts: 10_000.0, from: 0.5, multiple: 2.0, span: SPAN, reach: LATE };
-        let streams = self.budget * cold.lasts / (cold.multiple * cold.from * cold.span);
+    fn front(&self, n: u32, rng: &mut fastrand::Rng, now: Ms) -> FrontState {
+        let cold = ColdStartSettings {
+            duration: 10_000.0,
+            initial_share: 0.5,
+            rate_multiple: 2.0,
+            span: SPAN,
+            connect_timeout: LATE,
+        };
+        let streams = self.budget * cold.duration / (cold.rate_multiple * cold.initial_share * cold.span);
         let fronts = if n * 100 < self.fronts * self.told_half { self.fronts / 2 } else { self.fronts };
-        let terms =
-            Terms { fronts, cold: Some(cold), kind_streams: vec![streams], may_probe: false, ..terms() };
-        let mut front = Front::new(terms, rng.u64(..), now);
-        front.listed(Listed { started: Some(NOW), ..server(0).listed });
+        let terms = PolicySettings {
+            front_count: fronts,
+            cold_start: Some(cold),
+            max_streams_by_kind: vec![streams],
+            probes_allowed: false,
+            ..terms()
+        };
+        let mut front = FrontState::new(terms, rng.u64(..), now);
+        front.update_server(ListEntry { started: Some(NOW), ..server(0).listed });
         front
     }
 
@@ -50,7 +61,7 @@
             .map(|t| self.restarts.map_or(Ms::INFINITY, |every| t + every * (0.5 + rng.f64())))
             .collect();
         // Born long ago, and told of the server when the list comes.
-        let mut all: Vec<Front> = (0..self.fronts).map(|n| self.front(n, &mut rng, 0.0)).collect();
+        let mut all: Vec<FrontState> = (0..self.fronts).map(|n| self.front(n, &mut rng, 0.0)).collect();
         let mut arrived = Vec::new();
         for ms in (0..9_990).step_by(10) {
             let now = NOW + ms as f64;
@@ -63,9 +74,13 @@
                     continue;
                 }
                 loop {
-                    let mut h =
-                        hand([Sess { holders: cells(0, 1), came: now, until: now + 3_000.0, ..sess() }]);
-                    let Place::Setup { .. } = all[n].place(&mut h, SessId(1), now) else { break };
+                    let mut h = hand([Session {
+                        holders: cells(0, 1),
+                        arrived_at: now,
+                        viewer_deadline: now + 3_000.0,
+                        ..sess()
+                    }]);
+                    let Placement::Setup { .. } = all[n].place(&mut h, SessionId(1), now) else { break };
                     let late = if (ms / 1_000) % 2 == 0 { LATE } else { 0.0 };
                     arrived.push(now + late);
                 }
