--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -164,7 +164,7 @@
 fn answer(id: SessionId, place: Placement, out: &mut Vec<Action>) {
     match place {
         Placement::Setup { server, rung, timeout } => out.push(Action::Setup { id, server, rung, timeout }),
-        Placement::BusyReply { come_back } => out.push(Action::BusyReply { id, come_back }),
+        Placement::BusyReply { retry_after } => out.push(Action::BusyReply { id, come_back: retry_after }),
         Placement::TornDown => out.push(Action::TornDown { id }),
         Placement::NotYet | Placement::NoAction => {}
     }
--- a/crates/desk/src/live.rs
+++ b/crates/desk/src/live.rs
@@ -95,7 +95,7 @@
             holders: Holders::named(ask.holders),
             rates_kb_per_s: ask.rates,
             highest_rung: ask.top,
-            left: ask.left - self.waits.way_back,
+            time_left: ask.left - self.waits.way_back,
         };
         self.desk.asked(id, request, now, &mut self.actions);
         self.settle(now);
@@ -142,8 +142,8 @@
     /// aside: those are theirs to try.
     pub fn heard_at(&self, server: ServerId) -> Option<Ms> {
         let s = self.desk.front.fleet.servers.get(&server)?;
-        (s.listed.state == ServerState::Ready && s.failures == 0)
-            .then(|| s.link_use.map_or(Ms::NEG_INFINITY, |seen| seen.at))
+        (s.entry.state == ServerState::Ready && s.failures == 0)
+            .then(|| s.link_use.map_or(Ms::NEG_INFINITY, |seen| seen.measured_at))
     }
 
     /// Asks boxes for their load, as the decisions do; what they answer goes to these all the same.
--- a/crates/desk/tests/live.rs
+++ b/crates/desk/tests/live.rs
@@ -46,7 +46,7 @@
         peer_messages_allowed: false,
         max_retry_after: Some(500.0),
         max_setups: 3,
-        retry_budget: Some(RetryBudget { free_retries: 3.0, retries_per_request: 0.5, span: 5_000.0 }),
+        retry_budget: Some(RetryBudget { free_retries: 3.0, retries_per_request: 0.5, window: 5_000.0 }),
         cold_start: None,
     }
 }
@@ -59,7 +59,7 @@
         cell: CellId(id % 2),
         state: listing,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
     BoxLine { listed, control: SocketAddr::from(([127, 0, 0, 1], 1_000 + id as u16)) }
 }
@@ -473,7 +473,7 @@
     let old = line(server, ServerState::Ready);
     let started = Some(w.now);
     let new = BoxLine {
-        listed: ListEntry { started, ..old.listed },
+        listed: ListEntry { started_at: started, ..old.listed },
         control: SocketAddr::from(([127, 0, 0, 2], old.control.port())),
     };
     w.live.listed(vec![new], w.now);
--- a/crates/front/src/list.rs
+++ b/crates/front/src/list.rs
@@ -103,7 +103,7 @@
             State::Gone => ServerState::Gone,
         },
         weight: line.weight,
-        started: line.started,
+        started_at: line.started,
     };
     (BoxLine { listed, control: line.control }, line.media)
 }
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -105,7 +105,7 @@
         for n in self.zones_told..self.told.zones.len() {
             let name = &self.told.zones[n];
             let fleet = self.desk.front.fleet.servers.values();
-            let used = fleet.map(|s| usize::from(s.listed.zone.0)).any(|zone| zone == n);
+            let used = fleet.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == n);
             if !used && lines.iter().all(|l| l.zone != *name) {
                 self.told.zones[n] = String::new();
             }
@@ -122,7 +122,7 @@
                 cell: CellId(line.cell),
                 state: if line.draining { ServerState::Draining } else { ServerState::Ready },
                 weight: line.weight,
-                started: line.started,
+                started_at: line.started,
             });
         }
         let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -176,7 +176,7 @@
             rates_kb_per_s: None,
             highest_rung: d.top,
             // What passed since it was read counts against its viewer's time.
-            left: w.limit - (now - at),
+            time_left: w.limit - (now - at),
         };
         if let Some(name) = &w.dest.at {
             let server = self.by_name.get(name).copied();
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -581,7 +581,7 @@
         w.node.datagram(names, &told, w.now);
         w.run();
         w.pass(limits::SWEEP * 2.0);
-        numbers.extend(w.node.desk.front.fleet.servers.values().map(|s| s.listed.zone.0));
+        numbers.extend(w.node.desk.front.fleet.servers.values().map(|s| s.entry.zone.0));
     }
     assert!(numbers.len() <= 4, "{numbers:?}");
 }
@@ -657,7 +657,7 @@
     }
     assert_eq!(seen(&w), 1_024, "each was reached within 8 s");
     let zones: std::collections::BTreeSet<_> =
-        w.node.desk.front.fleet.servers.values().map(|s| s.listed.zone).collect();
+        w.node.desk.front.fleet.servers.values().map(|s| s.entry.zone).collect();
     assert_eq!(zones.len(), 1_024, "a zone that the settings do not name is one of its own");
 }
 
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -91,13 +91,13 @@
     let budget = d.setups.budget.as_ref().map(|b| RetryBudget {
         free_retries: f.whole(b.free, "free", 0.0, 1e6),
         retries_per_request: f.within(b.share, "share", 0.0, 100.0),
-        span: f.time(b.span, "span"),
+        window: f.time(b.span, "span"),
     });
     let cold = d.cold.as_ref().map(|c| ColdStartSettings {
         duration: f.time(c.lasts, "lasts"),
         initial_share: f.within(c.from, "from", 0.0, 1.0),
         rate_multiple: f.within(c.multiple, "multiple", 0.01, 1e3),
-        span: f.time(c.span, "span"),
+        window: f.time(c.span, "span"),
         connect_timeout: f.time(d.waits.connect, "connect"),
     });
     let terms = PolicySettings {
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -199,7 +199,7 @@
         holders: Holders::Cells { first: CellId(home as u32), count: span as u32 },
         rates_kb_per_s: None,
         highest_rung: top as u8,
-        left,
+        time_left: left,
     })
 }
 
@@ -268,7 +268,7 @@
         cell: CellId(cell as u32),
         state: listing,
         weight,
-        started: (started != 0.0).then_some(started),
+        started_at: (started != 0.0).then_some(started),
     })
 }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -12,7 +12,7 @@
     },
     NotYet,
     BusyReply {
-        come_back: Option<Ms>,
+        retry_after: Option<Ms>,
     },
     TornDown,
     /// Nothing is owed: the session plays, or it is over.
@@ -98,5 +98,5 @@
     pub rates_kb_per_s: Option<Arc<[f64]>>,
     pub highest_rung: u8,
     /// How long the viewer waits.
-    pub left: Ms,
+    pub time_left: Ms,
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -112,7 +112,7 @@
                 ReportColumn::Streams => {
                     let own = hand.loads(&self.settings).get(&server).copied().unwrap_or_default();
                     if let (true, Some(s)) = (sound(v), self.fleet.servers.get_mut(&server)) {
-                        s.streams = Some(Measurement { value: v, at: now, own_load: own.streams });
+                        s.streams = Some(Measurement { value: v, measured_at: now, own_load: own.streams });
                     }
                 }
                 ReportColumn::Link => self.record_link_use(hand, server, v, now),
@@ -152,11 +152,12 @@
                 self.confirm_alive(n.server, now - n.process_age);
             }
             let Some(s) = self.fleet.servers.get_mut(&n.server) else { continue };
-            if s.link_use.is_some_and(|seen| seen.at >= at) {
+            if s.link_use.is_some_and(|seen| seen.measured_at >= at) {
                 continue;
             }
-            let most = self.settings.max_streams(&s.listed);
-            s.streams = Some(Measurement { value: n.stream_use * most, at, own_load: own.streams });
+            let most = self.settings.max_streams(&s.entry);
+            s.streams =
+                Some(Measurement { value: n.stream_use * most, measured_at: at, own_load: own.streams });
             let line = SharedLink::Link(n.server);
             let there = |s: &Session| self.on_line(s, line);
             let since = hand.growth_since(&self.settings, there, at - self.settings.measurement_delay)
@@ -171,7 +172,7 @@
     /// sessions and probes; two fronts that told each other of every server stepped sessions up and down
     /// several times as often, for three times the probes.
     fn tells(&self) -> bool {
-        let ready = self.fleet.servers.values().filter(|s| s.listed.state == ServerState::Ready);
+        let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready);
         self.settings.peer_messages_allowed && self.settings.front_count as usize > ready.count().max(1)
     }
 
@@ -185,8 +186,9 @@
             return;
         }
         let servers = &self.fleet.servers;
-        let heard =
-            |id: &ServerId| servers.get(id).and_then(|s| s.link_use).map_or(Ms::NEG_INFINITY, |l| l.at);
+        let heard = |id: &ServerId| {
+            servers.get(id).and_then(|s| s.link_use).map_or(Ms::NEG_INFINITY, |l| l.measured_at)
+        };
         // Only what this front was answered itself: news passed on and on would never end, that of a dead
         // server too.
         let answered = |id: &ServerId| servers.get(id).map_or(Ms::NEG_INFINITY, |s| s.last_report_at);
@@ -197,7 +199,7 @@
             }
             for id in asked.iter().filter(|id| answered(id) >= *since) {
                 let s = &servers[id];
-                let most = self.settings.max_streams(&s.listed);
+                let most = self.settings.max_streams(&s.entry);
                 let streams = s.streams.map_or(0.0, |seen| seen.value) / most;
                 due.peer_reports.push(PeerReport {
                     server: *id,
@@ -217,9 +219,9 @@
             return;
         }
         self.requests_since_peer_report = Some(0.0);
-        let able = servers.values().filter(|s| s.listed.state == ServerState::Ready);
+        let able = servers.values().filter(|s| s.entry.state == ServerState::Ready);
         let old = able
-            .map(|s| (heard(&s.listed.id), s.listed.id))
+            .map(|s| (heard(&s.entry.id), s.entry.id))
             .filter(|(at, _)| now - at > self.settings.measurement_delay);
         let mut old: Vec<(Ms, ServerId)> = old.collect();
         old.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -288,11 +290,13 @@
             return;
         }
         let use_ = match *seen {
-            Some(old) if now - old.at < STALE => weight * told + (1.0 - weight) * moved_on(old, own, size),
+            Some(old) if now - old.measured_at < STALE => {
+                weight * told + (1.0 - weight) * moved_on(old, own, size)
+            }
             _ => told,
         };
-        let since = seen.map_or(Ms::INFINITY, |old| at - old.at);
-        *seen = Some(Measurement { value: use_, at, own_load: own });
+        let since = seen.map_or(Ms::INFINITY, |old| at - old.measured_at);
+        *seen = Some(Measurement { value: use_, measured_at: at, own_load: own });
         if let SharedLink::Link(id) = line {
             // What was filled within the delay of news is not in it yet.
             let gain = (since / (self.settings.measurement_delay * (1.0 + SETTLE)).max(1.0)).min(1.0);
@@ -353,7 +357,7 @@
                 if s.setup_count > 0 && self.settings.retry_budget.is_some() {
                     self.retry_times.push_back(now);
                 }
-                let span = self.settings.cold_start.map_or(0.0, |c| c.span + c.connect_timeout);
+                let span = self.settings.cold_start.map_or(0.0, |c| c.window + c.connect_timeout);
                 let to = self.fleet.servers.get_mut(server).expect("a holder");
                 to.recent_setups.retain(|t| *t > now - span);
                 to.recent_setups.push(now);
@@ -386,10 +390,10 @@
             return give_up;
         }
         let loads = hand.loads(&self.settings);
-        let ready = self.fleet.servers.values().filter(|r| r.listed.state == ServerState::Ready);
+        let ready = self.fleet.servers.values().filter(|r| r.entry.state == ServerState::Ready);
         let able: Vec<ServerId> = ready
-            .filter(|r| self.settings.is_holder(&r.listed, &s.holders) && self.may_run(s, r, now))
-            .map(|r| r.listed.id)
+            .filter(|r| self.settings.is_holder(&r.entry, &s.holders) && self.may_run(s, r, now))
+            .map(|r| r.entry.id)
             .filter(|r| self.has_room(hand, &loads, *r, s))
             .collect();
         // Ordinary path: holders neither set aside nor tried by this session; then tried ones last.
@@ -409,7 +413,7 @@
         // Where its news is old, it is asked first: what it answers may change the choice, and sets the rung.
         // Guards against placing by a guess: many fronts, a front that comes back, dead servers still listed.
         // It can harm where probes are slow; a lost answer costs its wait, and none is asked late.
-        let news = self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |seen| seen.at);
+        let news = self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |seen| seen.measured_at);
         let in_time = target_left > group.start_target * ASK_TARGET;
         let may_ask = self.settings.probes_report_link() && self.probe_debt <= 0.0;
         if may_ask && now - news > ASK_AFTER && s.probed_servers.len() < ASK_MOST && in_time {
@@ -437,7 +441,7 @@
         }
         // Those who are turned away together do not come back together.
         let spread = 0.5 + 0.5 * self.rng.f64();
-        Placement::BusyReply { come_back: self.settings.max_retry_after.map(|most| most * spread) }
+        Placement::BusyReply { retry_after: self.settings.max_retry_after.map(|most| most * spread) }
     }
 
     /// Whether a further SETUP at this server cannot set the session up twice.
@@ -449,7 +453,7 @@
             RepeatPolicy::Once => false,
             RepeatPolicy::Keyed(scope) => {
                 let same = |f: fn(&ListEntry) -> u32| {
-                    self.fleet.servers.get(&first).is_some_and(|a| f(&a.listed) == f(&to.listed))
+                    self.fleet.servers.get(&first).is_some_and(|a| f(&a.entry) == f(&to.entry))
                 };
                 now - sent < group.key_window
                     && match scope {
@@ -465,10 +469,10 @@
     fn budget_left(&mut self, now: Ms) -> bool {
         let Some(b) = self.settings.retry_budget else { return true };
         // At the edge of the span a request may no longer count, a further SETUP still may.
-        self.taken.retain(|t| *t > now - b.span);
-        self.retry_times.retain(|t| *t >= now - b.span);
+        self.request_times.retain(|t| *t > now - b.window);
+        self.retry_times.retain(|t| *t >= now - b.window);
         (self.retry_times.len() + 1) as f64
-            <= b.free_retries + b.retries_per_request * self.taken.len() as f64
+            <= b.free_retries + b.retries_per_request * self.request_times.len() as f64
     }
 
     /// WMCA: of the holders that may take a SETUP now, the one of least cost; among equals by chance. Where
@@ -483,8 +487,8 @@
 
     fn cost(&self, loads: &Loads, server: ServerId) -> f64 {
         let r = &self.fleet.servers[&server];
-        let most = self.settings.max_streams(&r.listed);
-        let uplink = self.uplink_use(loads, self.settings.rack_of_cell(r.listed.cell));
+        let most = self.settings.max_streams(&r.entry);
+        let uplink = self.uplink_use(loads, self.settings.rack_of_cell(r.entry.cell));
         ALPHA * self.streams(loads, server, most) / most + BETA * (self.link_use(loads, server) + uplink)
     }
 
@@ -494,7 +498,7 @@
     fn kb(&self, line: SharedLink) -> f64 {
         let weight = |id| {
             let weight = self.fleet.servers.get(&id).map(|s| match self.settings.weight_kind {
-                WeightKind::Capacity => s.listed.weight,
+                WeightKind::Capacity => s.entry.weight,
                 // Else a server would look the smaller the more it carries.
                 WeightKind::LoadAdjusted => s.largest_weight,
             });
@@ -508,11 +512,11 @@
 
     /// News that is still worth something.
     fn fresh(&self, seen: Option<Measurement>) -> Option<Measurement> {
-        seen.filter(|seen| self.last_call_at - seen.at < STALE)
+        seen.filter(|seen| self.last_call_at - seen.measured_at < STALE)
     }
 
     fn rack_of(&self, server: ServerId) -> Option<RackId> {
-        Some(self.settings.rack_of_cell(self.fleet.servers.get(&server)?.listed.cell))
+        Some(self.settings.rack_of_cell(self.fleet.servers.get(&server)?.entry.cell))
     }
 
     /// This front's own load on a line.
@@ -557,7 +561,7 @@
     /// be in its warm-up carries only what is sent to it: a building that comes back would look as full as
     /// those that took its load. It can fill up unseen where all fronts send there before any report.
     fn unheard(&self, server: ServerId, average: f64) -> f64 {
-        let started = self.fleet.servers[&server].listed.started;
+        let started = self.fleet.servers[&server].entry.started_at;
         let cold = started
             .zip(self.settings.cold_start)
             .is_some_and(|(t, cold)| self.last_call_at < t + cold.duration);
@@ -573,7 +577,7 @@
     /// what this front has added to all of late: a crowd comes to all fronts, and all follow the same news.
     /// Where a crowd comes to this front alone, it keeps clear of more servers than it need.
     fn take_stock(&mut self, hand: &SessionTable, loads: &Loads, now: Ms) {
-        let ready = self.fleet.servers.values().filter(|s| s.listed.state == ServerState::Ready).count();
+        let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready).count();
         let alike = self.settings.front_count.saturating_sub(1) as f64 / ready.max(1) as f64;
         let total = |of: fn(&Load) -> f64| loads.values().map(of).sum::<f64>() * alike;
         let (streams, kb) = (total(|l| l.streams), total(|l| l.kb_per_s));
@@ -583,7 +587,7 @@
         let streams = mean(heard).unwrap_or(streams);
         let link = mean(self.fleet.servers.values().filter_map(|s| {
             let seen = self.fresh(s.link_use)?;
-            Some((seen.value - seen.own_load / self.kb(SharedLink::Link(s.listed.id))).max(0.0))
+            Some((seen.value - seen.own_load / self.kb(SharedLink::Link(s.entry.id))).max(0.0))
         }));
         self.foreign_load =
             ForeignLoad { streams, kb_per_s: kb, link_use: link, surge_kb_per_s: grown.max(0.0) * alike };
@@ -599,9 +603,9 @@
         // Where uplinks are heard of, one not heard from counts as average too.
         let heard = self.fleet.racks.values().filter_map(|r| self.fresh(r.uplink_use));
         mean(heard.map(|seen| seen.value)).unwrap_or_else(|| {
-            let servers = self.fleet.servers.values().filter(|s| s.listed.state != ServerState::Gone);
+            let servers = self.fleet.servers.values().filter(|s| s.entry.state != ServerState::Gone);
             let here =
-                servers.filter(|s| self.settings.rack_of_cell(s.listed.cell) == rack).map(|s| s.listed.id);
+                servers.filter(|s| self.settings.rack_of_cell(s.entry.cell) == rack).map(|s| s.entry.id);
             here.map(|id| self.link_use(loads, id) * self.kb(SharedLink::Link(id))).sum::<f64>()
                 / self.kb(line)
         })
@@ -609,7 +613,7 @@
 
     /// Use of the fuller of link and uplink when `kb` more is asked of both.
     fn fuller_with(&self, loads: &Loads, server: ServerId, kb: f64) -> f64 {
-        let rack = self.settings.rack_of_cell(self.fleet.servers[&server].listed.cell);
+        let rack = self.settings.rack_of_cell(self.fleet.servers[&server].entry.cell);
         let link = self.link_use(loads, server) + kb / self.kb(SharedLink::Link(server));
         link.max(self.uplink_use(loads, rack) + kb / self.kb(SharedLink::Uplink(rack)))
     }
@@ -626,7 +630,7 @@
         };
         let height = self.lowest(hand, |s| s.server.is_some());
         let r = &self.fleet.servers[&server];
-        let rack = self.settings.rack_of_cell(r.listed.cell);
+        let rack = self.settings.rack_of_cell(r.entry.cell);
         let uplink = self.fleet.racks.get(&rack).and_then(|r| r.uplink_use);
         let full = |line, use_: f64| use_ * height + floor(new) / self.kb(line) > MARK;
         r.busy_until <= self.last_call_at
@@ -718,7 +722,7 @@
         self.take_stock(hand, &loads, now);
         let room =
             |use_: f64, line| (MARK - use_) * (self.own_kb(&loads, line) / use_.max(1e-3)).min(self.kb(line));
-        let rack = self.settings.rack_of_cell(self.fleet.servers[&server].listed.cell);
+        let rack = self.settings.rack_of_cell(self.fleet.servers[&server].entry.cell);
         let part = room(self.link_use(&loads, server), SharedLink::Link(server))
             .min(room(self.uplink_use(&loads, rack), SharedLink::Uplink(rack)));
         self.fleet.servers.get_mut(&server).expect("heard").spare_kb_per_s = part * gain;
@@ -862,18 +866,18 @@
         // What was seen to die comes back cold; without probes only the list tells when.
         let back = r.recovered_at.or(r.died_at.filter(|_| !self.settings.probes_allowed));
         let witnessed = r.died_at.map(|_| back.map_or(Ms::INFINITY, |t| t + cold.duration));
-        let told = r.listed.started.map(|t| t + cold.duration);
+        let told = r.entry.started_at.map(|t| t + cold.duration);
         let warm_at = witnessed.into_iter().chain(told).fold(now, Ms::max);
         if warm_at <= now {
             return None;
         }
-        let most = self.settings.max_streams(&r.listed);
-        let all = cold.rate_multiple * most / cold.duration * cold.initial_share * cold.span * COLD_CERTAIN;
+        let most = self.settings.max_streams(&r.entry);
+        let all = cold.rate_multiple * most / cold.duration * cold.initial_share * cold.window * COLD_CERTAIN;
         let share = (all / self.settings.front_count.max(1) as f64).floor();
         if share < 1.0 {
             return Some(warm_at - now);
         }
-        let span = cold.span + cold.connect_timeout;
+        let span = cold.window + cold.connect_timeout;
         let recent = r.recent_setups.iter().filter(|t| **t > now - span);
         let mut wait: Ms = (self.started_at + span - now).max(0.0);
         if recent.clone().count() as f64 >= share {
@@ -886,14 +890,14 @@
 
     pub fn due_actions(&mut self, hand: &mut SessionTable, now: Ms) -> DueActions {
         self.last_call_at = now;
-        let roomy = self.fleet.servers.values().filter(|s| s.spare_kb_per_s > 0.0).map(|s| s.listed.id);
+        let roomy = self.fleet.servers.values().filter(|s| s.spare_kb_per_s > 0.0).map(|s| s.entry.id);
         for id in roomy.collect::<Vec<_>>() {
             self.step_up(hand, id, now);
         }
         let mut due = DueActions { next_call_at: now + LOOK, ..DueActions::default() };
         due.probes = std::mem::take(&mut self.pending_probes);
         let servers = &self.fleet.servers;
-        let leaves = |id| servers.get(&id).is_none_or(|r| r.listed.state != ServerState::Ready);
+        let leaves = |id| servers.get(&id).is_none_or(|r| r.entry.state != ServerState::Ready);
         for (id, s) in &mut hand.sessions {
             match s.held_until {
                 // What a server answers that takes nothing new any more is not waited for.
@@ -906,31 +910,31 @@
             }
         }
         let loads = hand.loads(&self.settings);
-        let listed = |s: &&mut Server| s.listed.state != ServerState::Gone;
+        let listed = |s: &&mut Server| s.entry.state != ServerState::Gone;
         let tells = self.tells();
         for s in self.fleet.servers.values_mut().filter(listed).filter(|_| self.settings.probes_allowed) {
             // A probe, not a viewer's session, tries a server that was set aside.
             if s.failures > 0 {
-                if s.listed.state == ServerState::Ready && s.excluded_until <= now {
+                if s.entry.state == ServerState::Ready && s.excluded_until <= now {
                     s.excluded_until = now + ASIDE;
-                    due.probes.push(s.listed.id);
+                    due.probes.push(s.entry.id);
                 }
                 continue;
             }
             let asks = self.settings.reports_by_probe
                 && self.settings.probes_report_link()
                 && self.probe_debt <= 0.0;
-            let Some(own) = loads.get(&s.listed.id).filter(|_| asks) else { continue };
+            let Some(own) = loads.get(&s.entry.id).filter(|_| asks) else { continue };
             let next = now + PROBE_PACE / own.streams;
-            let known = s.link_use.is_some_and(|seen| now - seen.at < PROBE_FIRST);
+            let known = s.link_use.is_some_and(|seen| now - seen.measured_at < PROBE_FIRST);
             let from = if tells { PROBE_FIRST } else { 0.0 };
             let first = if known { next } else { now + from + PROBE_FIRST * self.rng.f64() };
             // What another front told in the meantime is as good as an answer of its own.
-            let told = s.link_use.map_or(now, |seen| seen.at + PROBE_PACE / own.streams);
+            let told = s.link_use.map_or(now, |seen| seen.measured_at + PROBE_PACE / own.streams);
             if *s.next_probe_at.get_or_insert(first) <= now {
                 s.next_probe_at = Some(if told <= now { next } else { told });
                 if told <= now {
-                    due.probes.push(s.listed.id);
+                    due.probes.push(s.entry.id);
                 }
             }
         }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -37,20 +37,20 @@
     pub state: ServerState,
     pub weight: f64,
     /// Start of the process, where it was not long ago.
-    pub started: Option<Ms>,
+    pub started_at: Option<Ms>,
 }
 
 /// A figure that was heard, with the front's own part of it at that moment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Measurement {
     pub value: f64,
-    pub at: Ms,
+    pub measured_at: Ms,
     pub own_load: f64,
 }
 
 #[derive(Debug, Clone)]
 pub struct Server {
-    pub listed: ListEntry,
+    pub entry: ListEntry,
     /// The largest weight that was listed of it.
     pub largest_weight: f64,
     /// What is asked of the link over what it gives.
@@ -83,7 +83,7 @@
     pub fn new(listed: ListEntry) -> Self {
         Server {
             largest_weight: listed.weight,
-            listed,
+            entry: listed,
             link_use: None,
             streams: None,
             failures: 0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -39,7 +39,7 @@
 pub struct RetryBudget {
     pub free_retries: f64,
     pub retries_per_request: f64,
-    pub span: Ms,
+    pub window: Ms,
 }
 
 /// How a server that has just started must be spared.
@@ -48,7 +48,7 @@
     pub duration: Ms,
     pub initial_share: f64,
     pub rate_multiple: f64,
-    pub span: Ms,
+    pub window: Ms,
     /// How long a SETUP may wait for its connection: so much later it may reach the server.
     pub connect_timeout: Ms,
 }
@@ -198,7 +198,7 @@
         };
         let budget = match told.some("safety.look_back")? {
             Some(span) => Some(RetryBudget {
-                span,
+                window: span,
                 free_retries: told.opt("safety.min_extra")?.unwrap_or(0.0),
                 retries_per_request: told.opt("safety.extra_ratio")?.unwrap_or(0.0),
             }),
@@ -209,7 +209,7 @@
                 duration: lasts,
                 initial_share: told.need("safety.cold_from")?,
                 rate_multiple: told.need("safety.tip_multiple")?,
-                span: told.need("safety.tip_after")?,
+                window: told.need("safety.tip_after")?,
                 connect_timeout: told.some("limits.connect_timeout")?.unwrap_or(0.0),
             }),
             None => None,
--- a/src/state.rs
+++ b/src/state.rs
@@ -26,7 +26,7 @@
     /// The time of the last call.
     pub last_call_at: Ms,
     /// When requests were taken and further SETUPs sent, as far back as the budget looks.
-    pub taken: VecDeque<Ms>,
+    pub request_times: VecDeque<Ms>,
     pub retry_times: VecDeque<Ms>,
     /// Changes of rung and log lines that are still to be handed out.
     pub foreign_load: ForeignLoad,
@@ -53,7 +53,7 @@
             rng: fastrand::Rng::with_seed(seed),
             started_at: now,
             last_call_at: now,
-            taken: VecDeque::new(),
+            request_times: VecDeque::new(),
             retry_times: VecDeque::new(),
             foreign_load: ForeignLoad::default(),
             rung_changes: Vec::new(),
@@ -71,9 +71,9 @@
     /// One line of the list. A new start makes it a new process: nothing known of the old one counts.
     pub fn update_server(&mut self, line: ListEntry) {
         match self.fleet.servers.get_mut(&line.id) {
-            Some(s) if s.listed.started == line.started => {
+            Some(s) if s.entry.started_at == line.started_at => {
                 s.largest_weight = s.largest_weight.max(line.weight);
-                s.listed = line;
+                s.entry = line;
             }
             Some(s) => {
                 let sent_cold = std::mem::take(&mut s.recent_setups);
@@ -88,7 +88,7 @@
     /// The complete list: what it leaves out is gone.
     pub fn replace_server_list(&mut self, lines: Vec<ListEntry>) {
         for s in self.fleet.servers.values_mut() {
-            s.listed.state = ServerState::Gone;
+            s.entry.state = ServerState::Gone;
         }
         for line in lines {
             self.update_server(line);
@@ -98,7 +98,7 @@
     /// A request was taken.
     pub fn add_request(&mut self, hand: &mut SessionTable, id: SessionId, r: Request, now: Ms) {
         if self.settings.retry_budget.is_some() {
-            self.taken.push_back(now);
+            self.request_times.push_back(now);
         }
         self.requests_since_peer_report = self.requests_since_peer_report.map(|n| n + 1.0);
         hand.sessions.insert(id, self.session(r, now));
@@ -129,7 +129,7 @@
             rates_kb_per_s: r.rates_kb_per_s.filter(|kb| kb.len() == self.settings.rung_kb_per_s.len()),
             highest_rung: r.highest_rung.min(g.highest_rung).max(g.lowest_rung),
             arrived_at: now,
-            viewer_deadline: now + r.left,
+            viewer_deadline: now + r.time_left,
             rung: g.lowest_rung,
             server: None,
             playing: false,
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -24,10 +24,10 @@
 fn the_holder_of_least_cost_wins(link: f64, streams: f64) -> Option<u32> {
     let mut f = front(terms());
     let three = f.fleet.servers.get_mut(&ServerId(3)).unwrap();
-    three.link_use = Some(Measurement { value: link, at: NOW, own_load: 0.0 });
-    three.streams = Some(Measurement { value: streams, at: NOW, own_load: 0.0 });
+    three.link_use = Some(Measurement { value: link, measured_at: NOW, own_load: 0.0 });
+    three.streams = Some(Measurement { value: streams, measured_at: NOW, own_load: 0.0 });
     let mut h = hand([Session { holders: cells(1, 3), ..sess() }]);
-    f.fleet.servers.get_mut(&ServerId(2)).unwrap().listed.state = ServerState::Gone;
+    f.fleet.servers.get_mut(&ServerId(2)).unwrap().entry.state = ServerState::Gone;
     went_to(&f.place(&mut h, ONE, NOW))
 }
 
@@ -36,7 +36,7 @@
     let mut f = front(walnutline::settings::PolicySettings { probes_allowed: false, ..terms() });
     for id in [0, 1] {
         f.fleet.servers.get_mut(&ServerId(id)).unwrap().link_use =
-            Some(Measurement { value: 0.1 + 0.6 * id as f64, at: NOW, own_load: 0.0 });
+            Some(Measurement { value: 0.1 + 0.6 * id as f64, measured_at: NOW, own_load: 0.0 });
     }
     let unheard = f.fleet.servers.get_mut(&ServerId(3)).unwrap();
     (unheard.link_use, unheard.streams) = (None, None);
@@ -53,7 +53,7 @@
 fn a_new_session_starts_lower_on_a_fuller_link(used: f64) -> u8 {
     let mut f = front(terms());
     for s in f.fleet.servers.values_mut() {
-        s.link_use = Some(Measurement { value: used, at: NOW, own_load: 0.0 });
+        s.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 });
     }
     match f.place(&mut hand([sess()]), ONE, NOW) {
         Placement::Setup { rung, .. } => rung,
@@ -75,7 +75,7 @@
     f.fleet
         .servers
         .values_mut()
-        .for_each(|s| s.link_use = Some(Measurement { value: used, at: NOW, own_load: 0.0 }));
+        .for_each(|s| s.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 }));
     match f.place(&mut hand([sess()]), ONE, NOW) {
         Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
@@ -89,7 +89,7 @@
     let mut f = front(terms());
     let own = f.settings.ladder_rate(GroupIndex(0), rung);
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-        Some(Measurement { value: used, at: NOW, own_load: own });
+        Some(Measurement { value: used, measured_at: NOW, own_load: own });
     let mut h = hand([Session { holders: cells(0, 1), ..sess() }, playing(0, rung, 0.0)]);
     went_to(&f.place(&mut h, ONE, NOW)).is_some()
 }
@@ -98,7 +98,7 @@
 #[test_case(ServerState::Gone; "gone")]
 fn nothing_new_goes_to_a_server_that_leaves(listing: ServerState) {
     let mut f = front(terms());
-    f.fleet.servers.get_mut(&ServerId(1)).unwrap().listed.state = listing;
+    f.fleet.servers.get_mut(&ServerId(1)).unwrap().entry.state = listing;
     let mut h = hand([Session { holders: cells(1, 1), ..sess() }]);
     assert!(matches!(f.place(&mut h, ONE, NOW), Placement::BusyReply { .. }));
     assert!(h.sessions.is_empty());
@@ -120,7 +120,7 @@
 fn a_report_counts_half_against_what_the_table_expected(held: f64, told: f64) -> f64 {
     let mut f = front(terms());
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-        Some(Measurement { value: held, at: NOW, own_load: 0.0 });
+        Some(Measurement { value: held, measured_at: NOW, own_load: 0.0 });
     f.record_link_use(&mut SessionTable::default(), ServerId(0), told, NOW);
     (f.fleet.servers[&ServerId(0)].link_use.unwrap().value * 1e6).round() / 1e6
 }
@@ -137,7 +137,7 @@
     });
     f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.95);
     let s = f.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.link_use, s.listed.started) = (None, started);
+    (s.link_use, s.entry.started_at) = (None, started);
     f.settings.front_count = 1;
     match f.place(&mut hand([Session { holders: cells(0, 1), ..sess() }]), ONE, NOW) {
         Placement::Setup { rung, .. } => rung,
@@ -150,7 +150,7 @@
 fn a_full_link_is_not_empty_once_this_front_has_left_it(heard: f64) -> Option<u32> {
     let mut f = front(terms());
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-        Some(Measurement { value: heard, at: NOW, own_load: 400.0 });
+        Some(Measurement { value: heard, measured_at: NOW, own_load: 400.0 });
     went_to(&f.place(&mut hand([Session { holders: cells(0, 1), ..sess() }, playing(3, 0, 0.0)]), ONE, NOW))
 }
 
@@ -159,7 +159,7 @@
 fn a_report_lacks_what_was_added_since_it_was_made(ago: Ms) -> f64 {
     let mut f = front(terms());
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-        Some(Measurement { value: 0.5, at: NOW, own_load: 400.0 });
+        Some(Measurement { value: 0.5, measured_at: NOW, own_load: 400.0 });
     let mut h = hand([Session { rate_changed_at: NOW - ago, ..playing(0, 2, NOW - ago) }]);
     f.record_link_use(&mut h, ServerId(0), 0.5, NOW);
     f.fleet.servers[&ServerId(0)].link_use.unwrap().value
@@ -171,7 +171,7 @@
 fn a_playing_session_steps_up_into_room(use_: f64, top: u8) -> Vec<(SessionId, u8)> {
     let mut f = front(terms());
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-        Some(Measurement { value: use_, at: NOW - 5_000.0, own_load: 200.0 });
+        Some(Measurement { value: use_, measured_at: NOW - 5_000.0, own_load: 200.0 });
     let mut h = hand([Session { highest_rung: top, ..playing(0, 1, 0.0) }]);
     f.record_link_use(&mut h, ServerId(0), use_, NOW);
     f.rung_changes
@@ -182,7 +182,7 @@
 #[test_case(110.0 => 80.0; "a tenth of the delay later")]
 fn room_is_filled_once_within_the_delay_of_news(ago: Ms) -> f64 {
     let mut f = front(walnutline::settings::PolicySettings { uplink_kb_per_s: 1e6, ..terms() });
-    let link = Some(Measurement { value: 0.4, at: NOW - ago, own_load: 800.0 });
+    let link = Some(Measurement { value: 0.4, measured_at: NOW - ago, own_load: 800.0 });
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use = link;
     let stay = Session { highest_rung: 2, rung_set_at: NOW, ..playing(0, 2, 0.0) };
     let mut h = hand([stay.clone(), stay]);
@@ -207,7 +207,7 @@
     assert!(f.due_actions(&mut h, now).probes.is_empty());
     f.requests_since_peer_report = Some(20.0);
     // Three are old news, one was heard just now.
-    f.fleet.servers.get_mut(&ServerId(3)).unwrap().link_use.as_mut().unwrap().at = now - 100.0;
+    f.fleet.servers.get_mut(&ServerId(3)).unwrap().link_use.as_mut().unwrap().measured_at = now - 100.0;
     let due = f.due_actions(&mut h, now);
     assert_eq!((due.probes.len(), due.peer_reports.len(), f.requests_since_peer_report), (3, 0, Some(0.0)));
     for id in [0, 1] {
@@ -305,7 +305,7 @@
         let mut f = front(walnutline::settings::PolicySettings { uplink_kb_per_s: 1e6, ..terms() });
         f.rng = fastrand::Rng::with_seed(seed);
         f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-            Some(Measurement { value: 0.5, at: 0.0, own_load: 100.0 });
+            Some(Measurement { value: 0.5, measured_at: 0.0, own_load: 100.0 });
         f.record_link_use(&mut hand([playing(0, 0, 0.0)]), ServerId(0), 0.5, NOW);
         f.rung_changes.len()
     };
@@ -320,7 +320,7 @@
     let mut f = front(terms());
     f.record_report(&mut SessionTable::default(), ServerId(0), &[value, value], NOW + 1.0);
     let s = &f.fleet.servers[&ServerId(0)];
-    assert_eq!((s.link_use.unwrap().at, s.streams.unwrap().at), (NOW, NOW));
+    assert_eq!((s.link_use.unwrap().measured_at, s.streams.unwrap().measured_at), (NOW, NOW));
 }
 
 /// A session that no server can use sets none aside; an error counts once another server plays the session, or
@@ -358,7 +358,7 @@
     let mut f = front(terms());
     let s = f.fleet.servers.get_mut(&ServerId(0)).unwrap();
     (s.link_use, s.failures, s.excluded_until) =
-        (Some(Measurement { value: 0.0, at: NOW, own_load: 0.0 }), 1, NOW + 1_000.0);
+        (Some(Measurement { value: 0.0, measured_at: NOW, own_load: 0.0 }), 1, NOW + 1_000.0);
     assert_ne!(went_to(&f.place(&mut hand([sess()]), ONE, NOW)), Some(0));
 }
 
@@ -370,19 +370,19 @@
 }
 
 #[test_case(RepeatPolicy::Once, SetupOutcome::Errored => Placement::TornDown; "may have run")]
-#[test_case(RepeatPolicy::Once, SetupOutcome::BusyReplied => Placement::BusyReply { come_back: None }; "never ran")]
+#[test_case(RepeatPolicy::Once, SetupOutcome::BusyReplied => Placement::BusyReply { retry_after: None }; "never ran")]
 #[test_case(RepeatPolicy::Keyed(KeyScope::Zone), SetupOutcome::TimedOut => Placement::TornDown; "key of one zone")]
 fn no_set_up_happens_twice(repeat: RepeatPolicy, ending: SetupOutcome) -> Placement {
     let mut t = walnutline::settings::PolicySettings { max_retry_after: None, ..terms() };
     t.service_groups[0].repeat = repeat;
     let mut f = front(t);
     // The other holder stands in another zone, or is gone where the first one gave a busy reply.
-    let other = &mut f.fleet.servers.get_mut(&ServerId(2)).unwrap().listed;
+    let other = &mut f.fleet.servers.get_mut(&ServerId(2)).unwrap().entry;
     other.zone = ZoneIndex(1);
     if ending == SetupOutcome::BusyReplied {
         other.state = ServerState::Gone;
     }
-    f.fleet.servers.get_mut(&ServerId(3)).unwrap().listed.state = ServerState::Draining;
+    f.fleet.servers.get_mut(&ServerId(3)).unwrap().entry.state = ServerState::Draining;
     let out = Session { server: Some(ServerId(3)), setup_count: 1, holders: cells(2, 2), ..sess() };
     f.after_outcome(&mut hand([out]), ONE, ending, NOW)
 }
@@ -421,7 +421,7 @@
 #[test_case(0, 0 => true; "the free one")]
 fn further_setups_stay_within_the_budget(taken: usize, sent: usize) -> bool {
     let mut f = front(walnutline::settings::PolicySettings { retry_budget: Some(budget()), ..terms() });
-    f.taken.extend((0..taken).map(|i| NOW - 9_000.0 + i as f64));
+    f.request_times.extend((0..taken).map(|i| NOW - 9_000.0 + i as f64));
     f.retry_times.extend((0..sent).map(|i| NOW - 5_000.0 + i as f64));
     let out = Session { server: Some(ServerId(0)), setup_count: 1, ..sess() };
     went_to(&f.after_outcome(&mut hand([out]), ONE, SetupOutcome::Errored, NOW)).is_some()
@@ -441,7 +441,7 @@
             };
             let mut f =
                 front(walnutline::settings::PolicySettings { max_streams_by_kind: vec![streams], ..t });
-            f.fleet.servers.get_mut(&ServerId(0)).unwrap().listed.started = Some(NOW);
+            f.fleet.servers.get_mut(&ServerId(0)).unwrap().entry.started_at = Some(NOW);
             f
         })
         .collect();
@@ -461,8 +461,8 @@
         }
     }
     let c = cold();
-    let budget = c.rate_multiple * streams / c.duration * c.initial_share * c.span;
-    let most = sent.iter().map(|t| sent.iter().filter(|u| **u >= *t && **u < t + c.span).count()).max();
+    let budget = c.rate_multiple * streams / c.duration * c.initial_share * c.window;
+    let most = sent.iter().map(|t| sent.iter().filter(|u| **u >= *t && **u < t + c.window).count()).max();
     assert_eq!(used, !sent.is_empty());
     assert!(most.unwrap_or(0) as f64 <= budget, "{most:?} of {budget}");
 }
@@ -513,7 +513,7 @@
 fn a_full_link_without_own_sessions_is_judged_by_the_height_of_own_ones(rung: u8) -> bool {
     let mut f = front(terms());
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
-        Some(Measurement { value: 0.97, at: NOW, own_load: 0.0 });
+        Some(Measurement { value: 0.97, measured_at: NOW, own_load: 0.0 });
     let mut h = hand([Session { holders: cells(0, 1), ..sess() }, playing(3, rung, 0.0)]);
     went_to(&f.place(&mut h, ONE, NOW)).is_some()
 }
@@ -525,7 +525,7 @@
     let mut f = front(walnutline::settings::PolicySettings { probes_allowed: false, ..terms() });
     f.fleet.servers.values_mut().for_each(|s| s.link_use = None);
     let rack = f.fleet.racks.entry(RackId(0)).or_default();
-    rack.uplink_use = Some(Measurement { value: uplink, at: NOW - ago, own_load: 0.0 });
+    rack.uplink_use = Some(Measurement { value: uplink, measured_at: NOW - ago, own_load: 0.0 });
     let mut h = hand([Session { holders: cells(0, 1), ..sess() }, playing(1, 0, 0.0)]);
     matches!(f.place(&mut h, ONE, NOW), Placement::BusyReply { .. })
 }
@@ -535,7 +535,7 @@
     let mut f = front(terms());
     f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.1);
     f.fleet.racks.entry(RackId(0)).or_default().uplink_use =
-        Some(Measurement { value: 0.95, at: NOW, own_load: 0.0 });
+        Some(Measurement { value: 0.95, measured_at: NOW, own_load: 0.0 });
     let place = f.place(&mut hand([Session { holders: cells(1, 1), ..sess() }]), ONE, NOW);
     assert!(matches!(place, Placement::Setup { rung: 0, .. }), "{place:?}");
 }
@@ -544,7 +544,7 @@
 #[test_case(5_000.0 => (false, 1); "old news: the holder is asked")]
 fn a_holder_with_old_news_is_asked_before_a_session_goes_there(ago: Ms) -> (bool, usize) {
     let mut f = front(terms());
-    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().at = NOW - ago);
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().measured_at = NOW - ago);
     let mut h = hand([sess()]);
     let place = f.place(&mut h, ONE, NOW);
     (went_to(&place).is_some(), f.due_actions(&mut h, NOW).probes.len())
@@ -572,7 +572,7 @@
     f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use.as_mut().unwrap().value = 0.1;
     let out = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 2), ..sess() };
     f.after_outcome(&mut hand([out]), ONE, SetupOutcome::BusyReplied, NOW - ago);
-    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().at = NOW);
+    f.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().measured_at = NOW);
     went_to(&f.place(&mut hand([Session { holders: cells(0, 2), ..sess() }]), ONE, NOW))
 }
 
@@ -609,14 +609,14 @@
     f.fleet
         .servers
         .values_mut()
-        .for_each(|s| s.link_use = Some(Measurement { value: 0.48, at: NOW, own_load: 0.0 }));
+        .for_each(|s| s.link_use = Some(Measurement { value: 0.48, measured_at: NOW, own_load: 0.0 }));
     let request = walnutline::api::Request {
         group: GroupIndex(0),
         title: TitleId(9),
         holders: cells(0, 4),
         rates_kb_per_s: rates.map(Into::into),
         highest_rung: 2,
-        left: 3_000.0,
+        time_left: 3_000.0,
     };
     let mut h = SessionTable::default();
     f.add_request(&mut h, ONE, request, NOW);
@@ -634,11 +634,11 @@
 #[test_case(|f, s| { f.settings.service_groups[0].max_sessions_per_title = 1; s.title = TitleId(1) }; "seats taken")]
 #[test_case(|_, s| s.holders = cells(0, 0); "held nowhere")]
 #[test_case(|f, _| f.fleet.servers.clear(); "an empty list")]
-#[test_case(|f, _| each(f, |s| s.listed.state = ServerState::Gone); "all gone")]
-#[test_case(|f, _| each(f, |s| s.listed.state = ServerState::Draining); "all draining")]
+#[test_case(|f, _| each(f, |s| s.entry.state = ServerState::Gone); "all gone")]
+#[test_case(|f, _| each(f, |s| s.entry.state = ServerState::Draining); "all draining")]
 #[test_case(|f, _| each(f, |s| s.link_use.as_mut().unwrap().value = 2.0); "all full")]
 #[test_case(|f, _| each(f, |s| s.busy_until = NOW + 1_000.0); "all busy")]
-#[test_case(|f, _| { (f.settings.front_count, f.settings.cold_start) = (200, Some(cold())); each(f, |s| s.listed.started = Some(NOW)) }; "all cold for long")]
+#[test_case(|f, _| { (f.settings.front_count, f.settings.cold_start) = (200, Some(cold())); each(f, |s| s.entry.started_at = Some(NOW)) }; "all cold for long")]
 fn what_is_given_up_is_answered_at_once(why: fn(&mut walnutline::state::FrontState, &mut Session)) {
     let (mut f, mut s) = (front(terms()), sess());
     // One session plays, and stands at its lowest rung.
@@ -647,7 +647,7 @@
     let mut h = hand([s, one]);
     let place = f.place(&mut h, ONE, NOW);
     assert!(
-        matches!(place, Placement::BusyReply { come_back: Some(t) } if (250.0..=500.0).contains(&t)),
+        matches!(place, Placement::BusyReply { retry_after: Some(t) } if (250.0..=500.0).contains(&t)),
         "{place:?}"
     );
     assert!(!h.sessions.contains_key(&ONE));
@@ -667,7 +667,7 @@
     let mut h = hand([sess()]);
     assert_eq!(f.place(&mut h, ONE, NOW), Placement::NotYet);
     let asked = f.due_actions(&mut h, NOW).probes[0];
-    f.fleet.servers.get_mut(&asked).unwrap().listed.state = listing;
+    f.fleet.servers.get_mut(&asked).unwrap().entry.state = listing;
     f.due_actions(&mut h, NOW + 10.0).sessions_to_place == [ONE]
 }
 
@@ -683,13 +683,13 @@
         zone: ZoneIndex(9),
         kind: KindIndex(255),
         cell: CellId(4_001),
-        ..server(7).listed
+        ..server(7).entry
     };
-    f.replace_server_list(vec![strange.clone(), strange, server(1).listed]);
+    f.replace_server_list(vec![strange.clone(), strange, server(1).entry]);
     for (id, used) in [(7, 0.4), (1, 0.5)] {
         let s = f.fleet.servers.get_mut(&ServerId(id)).unwrap();
-        s.link_use = Some(Measurement { value: used, at: NOW, own_load: 0.0 });
-        s.streams = Some(Measurement { value: 5.0, at: NOW, own_load: 0.0 });
+        s.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 });
+        s.streams = Some(Measurement { value: 5.0, measured_at: NOW, own_load: 0.0 });
     }
     assert_eq!(went_to(&f.place(&mut hand([sess()]), ONE, NOW)), Some(7), "it has more room");
 }
@@ -722,7 +722,7 @@
     let mut f = front(walnutline::settings::PolicySettings { rung_change_cost: change_cost, ..terms() });
     let stands = Session { rung_set_at: NOW - 5_000.0, ..playing(0, 1, 0.0) };
     let one = &mut f.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use;
-    *one = Some(Measurement { value: 0.4, at: NOW - 5_000.0, own_load: 200.0 });
+    *one = Some(Measurement { value: 0.4, measured_at: NOW - 5_000.0, own_load: 200.0 });
     f.record_link_use(&mut hand([stands]), ServerId(0), 0.4, NOW);
     f.rung_changes.len()
 }
@@ -748,7 +748,7 @@
 fn a_weight_that_moves_with_load_is_no_smaller_link(weights: WeightKind) -> u8 {
     let mut f = front(walnutline::settings::PolicySettings { weight_kind: weights, ..terms() });
     for weight in [1.0, 0.2] {
-        f.update_server(walnutline::fleet::ListEntry { weight, ..server(0).listed });
+        f.update_server(walnutline::fleet::ListEntry { weight, ..server(0).entry });
     }
     match f.place(&mut hand([Session { holders: cells(0, 1), ..sess() }]), ONE, NOW) {
         Placement::Setup { rung, .. } => rung,
@@ -774,7 +774,7 @@
     let mut f = front(terms());
     f.fleet.servers.clear();
     let told = |f: &mut walnutline::state::FrontState| match f.place(&mut hand([sess()]), ONE, NOW) {
-        Placement::BusyReply { come_back: Some(t) } => t as u32 / 50,
+        Placement::BusyReply { retry_after: Some(t) } => t as u32 / 50,
         other => panic!("{other:?}"),
     };
     let when: std::collections::BTreeSet<u32> = (0..40).map(|_| told(&mut f)).collect();
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -34,10 +34,10 @@
             duration: 10_000.0,
             initial_share: 0.5,
             rate_multiple: 2.0,
-            span: SPAN,
+            window: SPAN,
             connect_timeout: LATE,
         };
-        let streams = self.budget * cold.duration / (cold.rate_multiple * cold.initial_share * cold.span);
+        let streams = self.budget * cold.duration / (cold.rate_multiple * cold.initial_share * cold.window);
         let fronts = if n * 100 < self.fronts * self.told_half { self.fronts / 2 } else { self.fronts };
         let terms = PolicySettings {
             front_count: fronts,
@@ -47,7 +47,7 @@
             ..terms()
         };
         let mut front = FrontState::new(terms, rng.u64(..), now);
-        front.update_server(ListEntry { started: Some(NOW), ..server(0).listed });
+        front.update_server(ListEntry { started_at: Some(NOW), ..server(0).entry });
         front
     }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -56,12 +56,12 @@
         cell: CellId(id),
         state: ServerState::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
-    let link = Some(Measurement { value: 0.5, at: NOW, own_load: 0.0 });
+    let link = Some(Measurement { value: 0.5, measured_at: NOW, own_load: 0.0 });
     Server {
         link_use: link,
-        streams: Some(Measurement { value: 5.0, at: NOW, own_load: 0.0 }),
+        streams: Some(Measurement { value: 5.0, measured_at: NOW, own_load: 0.0 }),
         ..Server::new(listed)
     }
 }
@@ -127,11 +127,11 @@
         duration: 10_000.0,
         initial_share: 0.5,
         rate_multiple: 3.0,
-        span: 1_000.0,
+        window: 1_000.0,
         connect_timeout: 0.0,
     }
 }
 
 pub fn budget() -> RetryBudget {
-    RetryBudget { free_retries: 1.0, retries_per_request: 0.2, span: 10_000.0 }
+    RetryBudget { free_retries: 1.0, retries_per_request: 0.2, window: 10_000.0 }
 }
