--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/answers.rs
@@ -5,7 +5,7 @@
 use crate::limits;
 use walnutline::ids::{Ms, ServerId, SessId};
 use walnutline::interface::Ending;
-use walnutline_platform::fields;
+use walnutline_platform::headers;
 use walnutline_platform::server::{self, FromServer, Note, Report};
 use walnutline_platform::viewer;
 
@@ -159,8 +159,8 @@
     fn released(&mut self, conn: ConnId, server: ServerId, id: SessId, cause: Option<u32>, now: Ms) {
         match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Stands { server: at, since, .. }) if *at == server => match cause {
-                Some(fields::ENDED) => self.over(id, Ending::Done, Some(fields::ENDED), now),
-                Some(fields::WITHDRAWN) => {
+                Some(headers::ENDED) => self.over(id, Ending::Done, Some(headers::ENDED), now),
+                Some(headers::WITHDRAWN) => {
                     let after = now - since;
                     if after < limits::JUST_ANSWERED {
                         let said = format!(
@@ -171,7 +171,7 @@
                     }
                     self.over(id, Ending::Withdrawn, None, now);
                 }
-                _ => self.over(id, Ending::Broken, Some(fields::CUT), now),
+                _ => self.over(id, Ending::Broken, Some(headers::CUT), now),
             },
             Some(Stage::Asked { out: Some(out), .. }) if out.line == conn => {
                 if let Some(line) = self.lines.get_mut(&conn) {
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -10,7 +10,7 @@
 use walnutline::interface::Ending;
 use walnutline_desk::retry::Retry;
 use walnutline_platform::configuration::Configuration;
-use walnutline_platform::{names, ServerLine};
+use walnutline_platform::{discovery, ServerLine};
 
 pub(super) struct Names {
     address: SocketAddr,
@@ -54,7 +54,7 @@
             self.names.asked.pop_front();
         }
         self.names.asked.push_back(id);
-        self.dos.push(Do::Query { to: self.names.address, bytes: names::query(id) });
+        self.dos.push(Do::Query { to: self.names.address, bytes: discovery::query(id) });
     }
 
     /// A datagram that came from there. What is not a good answer to one of the last questions, or is older than
@@ -65,7 +65,7 @@
         }
         let id = u16::from_be_bytes([bytes[0], bytes[1]]);
         let Some(at) = self.names.asked.iter().position(|a| *a == id) else { return };
-        let Ok(answer) = names::read(bytes, id) else { return };
+        let Ok(answer) = discovery::read(bytes, id) else { return };
         self.names.asked.remove(at);
         if self.names.is_newer(answer.serial, now) {
             self.names.serial = answer.serial;
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -8,8 +8,8 @@
 use walnutline::ids::{Ms, ServerId, SessId};
 use walnutline::interface::Ending;
 use walnutline_desk::retry::Retry;
-use walnutline_platform::fields;
-use walnutline_platform::frame::Reader;
+use walnutline_platform::headers;
+use walnutline_platform::rtsp::Reader;
 use walnutline_platform::server;
 
 pub(super) struct Server {
@@ -272,7 +272,7 @@
         if !standing.is_empty() {
             self.dos.push(Do::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
         }
-        standing.into_iter().for_each(|id| self.over(id, Ending::Broken, Some(fields::CUT), now));
+        standing.into_iter().for_each(|id| self.over(id, Ending::Broken, Some(headers::CUT), now));
     }
 
     // ---- what goes out ----
@@ -400,7 +400,7 @@
     pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessId, what: Unsent, now: Ms) {
         let bytes = match what {
             Unsent::Rung(rung) => server::rung(id.0, rung),
-            Unsent::Release => server::release(id.0, fields::WITHDRAWN),
+            Unsent::Release => server::release(id.0, headers::WITHDRAWN),
         };
         if let (Unsent::Release, Some(line)) = (what, self.lines.get_mut(&conn)) {
             line.releases.retain(|(at, _)| now - at < limits::RELEASE_KEPT);
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use walnutline::ids::{CellNo, GroupNo, Ms, SessId, TitleId};
 use walnutline::interface::{Ending, Holders, Request};
-use walnutline_platform::fields;
-use walnutline_platform::frame::Reader;
+use walnutline_platform::headers;
+use walnutline_platform::rtsp::Reader;
 use walnutline_platform::viewer::{self, Fault, FromViewer, Wanted};
 
 pub(super) struct Viewer {
@@ -247,14 +247,14 @@
         let Some((server, s)) = server.and_then(|server| Some((server, self.servers.get_mut(&server)?)))
         else {
             // Its server is not there any more, and so is it.
-            return self.release(id.0, Some(conn), fields::CUT, now);
+            return self.release(id.0, Some(conn), headers::CUT, now);
         };
         if let Some((_, cause)) = self.early_ends.remove(&id).filter(|(at, _)| *at == server) {
             // Its end was told before it was handed over, and is not told again.
             return match cause {
-                Some(fields::WITHDRAWN) => {}
-                Some(fields::ENDED) => self.release(id.0, Some(conn), fields::ENDED, now),
-                _ => self.release(id.0, Some(conn), fields::CUT, now),
+                Some(headers::WITHDRAWN) => {}
+                Some(headers::ENDED) => self.release(id.0, Some(conn), headers::ENDED, now),
+                _ => self.release(id.0, Some(conn), headers::CUT, now),
             };
         }
         s.standing.insert(id);
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -13,7 +13,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use walnutline::ids::{Ms, SessId};
-use walnutline_platform::{names, peers};
+use walnutline_platform::{discovery, peers};
 
 /// How soon bytes that a socket did not take, or a SETUP that is held back, are tried again, in milliseconds.
 const AGAIN: Ms = 10.0;
@@ -113,7 +113,7 @@
         peers: Option<UdpSocket>,
     ) -> io::Result<Self> {
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let names = Datagrams::new(&poll, names, NAMES, names::LONGEST)?;
+        let names = Datagrams::new(&poll, names, NAMES, discovery::LONGEST)?;
         // A byte more than is allowed: a longer one is told from one of that length.
         let peers = peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::LONGEST + 1)).transpose()?;
         Ok(Hub {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,16 +1,16 @@
 //! Codecs of the operators' platform, without input or output.
 //!
-//! - [`frame`]: cuts a stream of bytes into RTSP messages, within bounds.
+//! - [`rtsp`]: cuts a stream of bytes into RTSP messages, within bounds.
 //! - [`viewer`], [`server`]: what the messages of each side mean, and the bytes of those sent to it.
-//! - [`fields`]: the fields of the platform's own.
-//! - [`names`]: queries to the name service and its answers.
+//! - [`headers`]: the fields of the platform's own.
+//! - [`discovery`]: queries to the name service and its answers.
 //! - [`peers`]: what front nodes tell each other.
 //! - [`configuration`]: the document a node is started with.
 pub mod configuration;
-pub mod fields;
-pub mod frame;
-pub mod names;
+pub mod discovery;
+pub mod headers;
 pub mod peers;
+pub mod rtsp;
 pub mod server;
 pub mod viewer;
 
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -1,6 +1,6 @@
 //! Messages between a node and servers.
-use crate::fields;
-use crate::frame::{self, named, Parsed};
+use crate::headers;
+use crate::rtsp::{self, named, Parsed};
 use crate::viewer::Wanted;
 use rtsp_types::headers::{HeaderName, CSEQ, SESSION};
 use rtsp_types::Method;
@@ -55,23 +55,23 @@
     match message {
         Parsed::Request(r) => {
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
-            let Some(id) = text(&SESSION).and_then(frame::id) else { return FromServer::Other };
+            let Some(id) = text(&SESSION).and_then(rtsp::id) else { return FromServer::Other };
             match r.method() {
                 Method::Teardown => FromServer::Released {
                     id,
-                    cause: text(&named(fields::REASON)).and_then(fields::cause),
+                    cause: text(&named(headers::REASON)).and_then(headers::cause),
                     cseq: text(&CSEQ).and_then(|v| v.parse().ok()),
-                    report: text(&named(fields::CIRCUITS)).map(fields::circuits).unwrap_or_default(),
+                    report: text(&named(headers::CIRCUITS)).map(headers::circuits).unwrap_or_default(),
                 },
                 Method::Announce => {
-                    let note = match text(&named(fields::WHY)) {
+                    let note = match text(&named(headers::WHY)) {
                         Some("quality") => Note::Share,
                         Some("profile") => Note::Rung,
                         Some("nic") => Note::Link,
                         Some("tor") => Note::Uplink,
                         _ => return FromServer::Other,
                     };
-                    match text(&named(fields::FIGURE)).and_then(fields::figure) {
+                    match text(&named(headers::FIGURE)).and_then(headers::figure) {
                         Some(figure) => FromServer::Note { id, note, figure },
                         None => FromServer::Other,
                     }
@@ -81,9 +81,9 @@
         }
         Parsed::Response(r) => {
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
-            let Some(id) = text(&SESSION).and_then(frame::id) else { return FromServer::Other };
+            let Some(id) = text(&SESSION).and_then(rtsp::id) else { return FromServer::Other };
             let status: u16 = r.status().into();
-            let report = || text(&named(fields::CIRCUITS)).map(fields::circuits).unwrap_or_default();
+            let report = || text(&named(headers::CIRCUITS)).map(headers::circuits).unwrap_or_default();
             match text(&CSEQ) {
                 _ if status < 200 => FromServer::Other,
                 Some("1") => {
@@ -101,39 +101,39 @@
 /// A set-up goes on; `wait`: how long its answer is waited for.
 pub fn setup(wanted: &Wanted, rung: u8, wait: f64) -> Vec<u8> {
     let fields = [
-        (fields::CLASS, wanted.class.clone()),
-        (fields::LIMIT, format!("{}", wait.floor().max(1.0) as u64)),
-        (fields::RUNG, rung.to_string()),
+        (headers::CLASS, wanted.class.clone()),
+        (headers::LIMIT, format!("{}", wait.floor().max(1.0) as u64)),
+        (headers::RUNG, rung.to_string()),
     ];
     let path = format!("{:016x}", wanted.title);
-    frame::ask(Method::Setup, &path, 1, wanted.id, &fields, &wanted.description)
+    rtsp::ask(Method::Setup, &path, 1, wanted.id, &fields, &wanted.description)
 }
 
 /// A set-up is given up.
 pub fn give_up(id: u64) -> Vec<u8> {
-    frame::ask(Method::Teardown, "over", 2, id, &[], &[])
+    rtsp::ask(Method::Teardown, "over", 2, id, &[], &[])
 }
 
 /// A session that stands is to end.
 pub fn release(id: u64, cause: u32) -> Vec<u8> {
-    frame::ask(Method::Teardown, "over", 2, id, &[(fields::REASON, format!("cause={cause}"))], &[])
+    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::REASON, format!("cause={cause}"))], &[])
 }
 
 /// Asks for the load.
 pub fn probe(id: u64) -> Vec<u8> {
-    frame::ask(Method::Options, "load", 3, id, &[], &[])
+    rtsp::ask(Method::Options, "load", 3, id, &[], &[])
 }
 
 /// Asks whether it is there.
 pub fn test(id: u64) -> Vec<u8> {
-    frame::ask(Method::Options, "ping", 3, id, &[], &[])
+    rtsp::ask(Method::Options, "ping", 3, id, &[], &[])
 }
 
 pub fn rung(id: u64, rung: u8) -> Vec<u8> {
-    frame::ask(Method::SetParameter, "rung", 4, id, &[(fields::RUNG, rung.to_string())], &[])
+    rtsp::ask(Method::SetParameter, "rung", 4, id, &[(headers::RUNG, rung.to_string())], &[])
 }
 
 /// A release was heard.
 pub fn heard(id: u64, cseq: Option<u32>) -> Vec<u8> {
-    frame::reply(200, cseq, Some(id), &[], &[])
+    rtsp::reply(200, cseq, Some(id), &[], &[])
 }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,6 +1,6 @@
 //! Messages between viewers and a node.
-use crate::fields::{self, Dest};
-use crate::frame::{self, named, Parsed};
+use crate::headers::{self, Dest};
+use crate::rtsp::{self, named, Parsed};
 use rtsp_types::headers::{HeaderName, CSEQ, SESSION};
 use rtsp_types::{Method, Request};
 
@@ -46,14 +46,14 @@
     let request = match message {
         Parsed::Request(r) => r,
         Parsed::Response(r) => {
-            let id = r.header(&SESSION).and_then(|v| frame::id(v.as_str().trim()));
+            let id = r.header(&SESSION).and_then(|v| rtsp::id(v.as_str().trim()));
             return Ok(FromViewer::Heard { id });
         }
         Parsed::Data(_) => return Err(Fault { id: None, cseq: None, why: "interleaved data".into() }),
     };
     let text = |name: &HeaderName| request.header(name).map(|v| v.as_str().trim());
     let cseq = text(&CSEQ).and_then(|v| v.parse().ok());
-    let id = text(&SESSION).and_then(frame::id);
+    let id = text(&SESSION).and_then(rtsp::id);
     let fault = |why: String| Fault { id, cseq, why };
     match request.method() {
         Method::Setup => wanted(&request).map(FromViewer::Setup).map_err(fault),
@@ -70,47 +70,47 @@
     let text = |name: HeaderName| r.header(&name).map(|v| v.as_str().trim());
     let need = |name: &'static str| text(named(name)).ok_or_else(|| format!("{name}: missing"));
     let uri = r.request_uri().ok_or("no address")?;
-    let title = uri.as_str().strip_prefix("rtsp://media/").and_then(frame::id).ok_or("no title")?;
-    if text(named(fields::HINT)).is_some_and(|h| fields::figure(h).is_none_or(|h| h < 0.0)) {
-        return Err(format!("{}: not a time", fields::HINT));
+    let title = uri.as_str().strip_prefix("rtsp://media/").and_then(rtsp::id).ok_or("no title")?;
+    if text(named(headers::HINT)).is_some_and(|h| headers::figure(h).is_none_or(|h| h < 0.0)) {
+        return Err(format!("{}: not a time", headers::HINT));
     }
-    let wait = need(fields::LIMIT)?;
+    let wait = need(headers::LIMIT)?;
     Ok(Wanted {
-        id: text(SESSION).and_then(frame::id).ok_or("Session: missing or no id")?,
+        id: text(SESSION).and_then(rtsp::id).ok_or("Session: missing or no id")?,
         title,
-        class: need(fields::CLASS)?.to_owned(),
-        limit: fields::wait(wait).ok_or_else(|| format!("{}: not a time", fields::LIMIT))?,
-        dest: fields::dest(need(fields::DEST)?)?,
+        class: need(headers::CLASS)?.to_owned(),
+        limit: headers::wait(wait).ok_or_else(|| format!("{}: not a time", headers::LIMIT))?,
+        dest: headers::dest(need(headers::DEST)?)?,
         description: r.body().clone(),
     })
 }
 
 /// The session stands.
 pub fn plays(id: u64, description: &[u8]) -> Vec<u8> {
-    frame::reply(200, Some(1), Some(id), &[], description)
+    rtsp::reply(200, Some(1), Some(id), &[], description)
 }
 
 /// Refused: trying again is harmless.
 pub fn busy(id: u64, come_back: Option<f64>) -> Vec<u8> {
-    let hold_off = come_back.map(|t| (fields::HOLD_OFF, format!("{}", t.round().max(0.0) as u64)));
-    frame::reply(503, Some(1), Some(id), hold_off.as_slice(), &[])
+    let hold_off = come_back.map(|t| (headers::HOLD_OFF, format!("{}", t.round().max(0.0) as u64)));
+    rtsp::reply(503, Some(1), Some(id), hold_off.as_slice(), &[])
 }
 
 pub fn torn_down(id: u64) -> Vec<u8> {
-    frame::reply(500, Some(1), Some(id), &[], &[])
+    rtsp::reply(500, Some(1), Some(id), &[], &[])
 }
 
 /// What can't be taken.
 pub fn refused(fault: &Fault, status: u16) -> Vec<u8> {
-    frame::reply(status, fault.cseq, fault.id, &[], &[])
+    rtsp::reply(status, fault.cseq, fault.id, &[], &[])
 }
 
 /// The answer to a test, or to a release.
 pub fn heard(id: Option<u64>, cseq: Option<u32>, status: u16) -> Vec<u8> {
-    frame::reply(status, cseq, id, &[], &[])
+    rtsp::reply(status, cseq, id, &[], &[])
 }
 
 /// A session that stood is over.
 pub fn release(id: u64, cause: u32) -> Vec<u8> {
-    frame::ask(Method::Teardown, "over", 2, id, &[(fields::REASON, format!("cause={cause}"))], &[])
+    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::REASON, format!("cause={cause}"))], &[])
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -4,11 +4,11 @@
 use simple_dns::{Name, Packet, PacketFlag, Question, ResourceRecord, CLASS, QCLASS, QTYPE, RCODE, TYPE};
 use test_case::test_case;
 use walnutline::terms::Terms;
-use walnutline_platform::frame::{Bad, Reader, LONGEST};
-use walnutline_platform::names::{self, Bad as BadNames};
+use walnutline_platform::discovery::{self, Bad as BadNames};
+use walnutline_platform::rtsp::{Bad, Reader, LONGEST};
 use walnutline_platform::server::{self, FromServer};
 use walnutline_platform::viewer::{self, FromViewer};
-use walnutline_platform::{configuration, fields};
+use walnutline_platform::{configuration, headers};
 
 const NODE: &str = include_str!("node.json");
 
@@ -50,7 +50,7 @@
     #[test]
     fn rubbish_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), piece in 1usize..90) {
         let _ = all(&bytes, piece);
-        let _ = names::read(&bytes, 7);
+        let _ = discovery::read(&bytes, 7);
     }
 
     /// A good message with a byte changed is read or refused.
@@ -129,10 +129,10 @@
 #[test]
 fn reports_and_causes() {
     assert_eq!(
-        fields::circuits("x0:0.8; inflight:nan;queue:3;x"),
+        headers::circuits("x0:0.8; inflight:nan;queue:3;x"),
         [("x0".into(), 0.8), ("queue".into(), 3.0)]
     );
-    assert_eq!((fields::cause("cause=16"), fields::cause("cause=x")), (Some(16), None));
+    assert_eq!((headers::cause("cause=16"), headers::cause("cause=x")), (Some(16), None));
 }
 
 fn answer(id: u16, change: fn(&mut Packet<'static>)) -> Vec<u8> {
@@ -140,14 +140,14 @@
     let name = |n: &'static str| Name::new_unchecked(n);
     let record = |n: &'static str, data| ResourceRecord::new(name(n), CLASS::IN, 0, data);
     p.questions.push(Question::new(
-        name(names::LIST),
+        name(discovery::LIST),
         QTYPE::TYPE(TYPE::SRV),
         QCLASS::CLASS(CLASS::IN),
         false,
     ));
     let target = "s-00c41f7a.east.hosts";
     let srv = SRV { priority: 1, weight: 45, port: 5060, target: name(target) };
-    p.answers.push(record(names::LIST, RData::SRV(srv)));
+    p.answers.push(record(discovery::LIST, RData::SRV(srv)));
     let soa =
         SOA { mname: name("a"), rname: name("b"), serial: 41, refresh: 0, retry: 0, expire: 0, minimum: 0 };
     p.name_servers.push(record("farm.lan", RData::SOA(soa)));
@@ -167,13 +167,13 @@
 #[test_case(|p| p.name_servers.clear() => Err(BadNames::Incomplete); "no number")]
 #[test_case(|p| p.additional_records.clear() => Err(BadNames::Incomplete); "no address")]
 fn answers_of_the_name_service(change: fn(&mut Packet<'static>)) -> Result<(u32, usize), BadNames> {
-    names::read(&answer(7, change), 7).map(|a| (a.serial, a.servers.len()))
+    discovery::read(&answer(7, change), 7).map(|a| (a.serial, a.servers.len()))
 }
 
 #[test]
 fn a_server_of_the_list_is_read_whole_and_a_cut_answer_is_not() {
     let bytes = answer(7, |_| {});
-    let server = names::read(&bytes, 7).unwrap().servers.remove(0);
+    let server = discovery::read(&bytes, 7).unwrap().servers.remove(0);
     assert_eq!(
         (server.name.as_str(), server.zone.as_str(), server.kind.as_str()),
         ("s-00c41f7a", "east", "std")
@@ -181,7 +181,7 @@
     assert_eq!((server.address, server.cell), ("10.1.0.9:5060".parse().unwrap(), 2));
     assert_eq!((server.draining, server.weight, server.started), (true, 4.5, Some(1.7e12)));
     for n in 0..bytes.len() {
-        assert!(names::read(&bytes[..n], 7).is_err(), "cut at {n}");
+        assert!(discovery::read(&bytes[..n], 7).is_err(), "cut at {n}");
     }
 }
 
@@ -254,7 +254,7 @@
     let record = |n: &str, data| ResourceRecord::new(name(n), CLASS::IN, 0, data);
     let mut p = Packet::new_reply(7);
     p.answers.push(record(
-        names::LIST,
+        discovery::LIST,
         RData::SRV(SRV { priority: 0, weight: 30, port: 9, target: name(&target) }),
     ));
     let txt =
@@ -265,7 +265,7 @@
     let soa =
         SOA { mname: name("a"), rname: name("b"), serial: 3, refresh: 0, retry: 0, expire: 0, minimum: 0 };
     p.name_servers.push(record("farm.lan", RData::SOA(soa)));
-    let told = names::read(&p.build_bytes_vec_compressed().unwrap(), 7).unwrap();
+    let told = discovery::read(&p.build_bytes_vec_compressed().unwrap(), 7).unwrap();
     assert_eq!((told.servers[0].name.as_str(), told.servers[0].zone.as_str()), ("s-1", zone));
 }
 
