--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/answers.rs
@@ -159,8 +159,10 @@
     fn released(&mut self, conn: ConnId, server: ServerId, id: SessId, cause: Option<u32>, now: Ms) {
         match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Stands { server: at, since, .. }) if *at == server => match cause {
-                Some(headers::ENDED) => self.over(id, Ending::Done, Some(headers::ENDED), now),
-                Some(headers::WITHDRAWN) => {
+                Some(headers::RELEASE_CAUSE_ENDED) => {
+                    self.over(id, Ending::Done, Some(headers::RELEASE_CAUSE_ENDED), now)
+                }
+                Some(headers::RELEASE_CAUSE_WITHDRAWN) => {
                     let after = now - since;
                     if after < limits::JUST_ANSWERED {
                         let said = format!(
@@ -171,7 +173,7 @@
                     }
                     self.over(id, Ending::Withdrawn, None, now);
                 }
-                _ => self.over(id, Ending::Broken, Some(headers::CUT), now),
+                _ => self.over(id, Ending::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now),
             },
             Some(Stage::Asked { out: Some(out), .. }) if out.line == conn => {
                 if let Some(line) = self.lines.get_mut(&conn) {
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -10,7 +10,7 @@
 use walnutline::interface::Ending;
 use walnutline_desk::retry::Retry;
 use walnutline_platform::configuration::Configuration;
-use walnutline_platform::{discovery, ServerLine};
+use walnutline_platform::{discovery, ServerRecord};
 
 pub(super) struct Names {
     address: SocketAddr,
@@ -99,7 +99,7 @@
     }
 
     /// The whole list.
-    pub(super) fn listed(&mut self, lines: Vec<ServerLine>, now: Ms) {
+    pub(super) fn listed(&mut self, lines: Vec<ServerRecord>, now: Ms) {
         let mut there = BTreeSet::new();
         let mut listed = Vec::new();
         for n in self.zones_told..self.told.zones.len() {
@@ -122,7 +122,7 @@
                 cell: CellNo(line.cell),
                 listing: if line.draining { Listing::Draining } else { Listing::Ready },
                 weight: line.weight,
-                started: line.started,
+                started: line.started_unix_ms,
             });
         }
         let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
@@ -163,17 +163,17 @@
 
     /// The server of a line of the list, as it is told now. An id is not an address: another process, or another
     /// address under the same id, shares nothing with what was known.
-    fn server_id(&mut self, line: &ServerLine, now: Ms) -> ServerId {
+    fn server_id(&mut self, line: &ServerRecord, now: Ms) -> ServerId {
         let listing = if line.draining { Listing::Draining } else { Listing::Ready };
         if let Some(id) = self.by_name.get(&line.name).copied() {
             let Some(s) = self.servers.get_mut(&id) else { return id };
             s.listing = listing;
-            if s.address != line.address || s.started != line.started {
+            if s.address != line.address || s.started != line.started_unix_ms {
                 // A new process at the old address is often met before the list tells of it, seconds late: what was
                 // opened and set up there since its start is its own.
-                let since = if s.address == line.address { line.started } else { None };
+                let since = if s.address == line.address { line.started_unix_ms } else { None };
                 let since = since.unwrap_or(Ms::INFINITY);
-                (s.address, s.started) = (line.address, line.started);
+                (s.address, s.started) = (line.address, line.started_unix_ms);
                 let lines = s.lines.iter().copied();
                 let old = lines.filter(|c| self.lines.get(c).is_none_or(|l| l.opened < since));
                 let old: Vec<ConnId> = old.collect();
@@ -189,7 +189,7 @@
             name: line.name.clone(),
             address: line.address,
             listing,
-            started: line.started,
+            started: line.started_unix_ms,
             lines: Vec::new(),
             standing: BTreeSet::new(),
             unsent: BTreeMap::new(),
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -272,7 +272,9 @@
         if !standing.is_empty() {
             self.dos.push(Do::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
         }
-        standing.into_iter().for_each(|id| self.over(id, Ending::Broken, Some(headers::CUT), now));
+        standing
+            .into_iter()
+            .for_each(|id| self.over(id, Ending::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now));
     }
 
     // ---- what goes out ----
@@ -400,7 +402,7 @@
     pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessId, what: Unsent, now: Ms) {
         let bytes = match what {
             Unsent::Rung(rung) => server::rung(id.0, rung),
-            Unsent::Release => server::release(id.0, headers::WITHDRAWN),
+            Unsent::Release => server::release(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
         };
         if let (Unsent::Release, Some(line)) = (what, self.lines.get_mut(&conn)) {
             line.releases.retain(|(at, _)| now - at < limits::RELEASE_KEPT);
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -136,7 +136,7 @@
     fn said(&mut self, conn: ConnId, said: FromViewer, at: Ms, now: Ms) {
         match said {
             FromViewer::Setup(wanted) => {
-                let (id, asks) = (wanted.id, wanted.dest.at.is_none());
+                let (id, asks) = (wanted.id, wanted.dest.current_server.is_none());
                 if let Err((why, status)) = self.wanted(conn, wanted, at, now) {
                     self.ledger.taken += u64::from(asks);
                     self.ledger.answered += u64::from(asks);
@@ -162,9 +162,9 @@
     fn wanted(&mut self, conn: ConnId, w: Wanted, at: Ms, now: Ms) -> Result<(), (&'static str, u16)> {
         let group = self.told.classes.iter().position(|c| *c == w.class).ok_or(("class", 400))?;
         let d = &w.dest;
-        let in_range = d.home < self.told.cells
+        let in_range = d.home_cell < self.told.cells
             && (1..=self.told.cells).contains(&d.copies)
-            && usize::from(d.top) < self.told.rungs;
+            && usize::from(d.top_rung) < self.told.rungs;
         if !in_range {
             return Err(("figures", 400));
         }
@@ -172,13 +172,13 @@
         let request = Request {
             group: GroupNo(group as u16),
             title: TitleId(w.title),
-            holders: Holders::Cells { home: CellNo(d.home), span: d.copies },
+            holders: Holders::Cells { home: CellNo(d.home_cell), span: d.copies },
             rates: None,
-            top: d.top,
+            top: d.top_rung,
             // What passed since it was read counts against its viewer's time.
             left: w.limit - (now - at),
         };
-        if let Some(name) = &w.dest.at {
+        if let Some(name) = &w.dest.current_server {
             let server = self.by_name.get(name).copied();
             self.handed_over(conn, id, server, request, now);
             return Ok(());
@@ -247,14 +247,16 @@
         let Some((server, s)) = server.and_then(|server| Some((server, self.servers.get_mut(&server)?)))
         else {
             // Its server is not there any more, and so is it.
-            return self.release(id.0, Some(conn), headers::CUT, now);
+            return self.release(id.0, Some(conn), headers::RELEASE_CAUSE_INTERRUPTED, now);
         };
         if let Some((_, cause)) = self.early_ends.remove(&id).filter(|(at, _)| *at == server) {
             // Its end was told before it was handed over, and is not told again.
             return match cause {
-                Some(headers::WITHDRAWN) => {}
-                Some(headers::ENDED) => self.release(id.0, Some(conn), headers::ENDED, now),
-                _ => self.release(id.0, Some(conn), headers::CUT, now),
+                Some(headers::RELEASE_CAUSE_WITHDRAWN) => {}
+                Some(headers::RELEASE_CAUSE_ENDED) => {
+                    self.release(id.0, Some(conn), headers::RELEASE_CAUSE_ENDED, now)
+                }
+                _ => self.release(id.0, Some(conn), headers::RELEASE_CAUSE_INTERRUPTED, now),
             };
         }
         s.standing.insert(id);
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -1,5 +1,5 @@
 //! The document that a node is started with, and given anew on SIGHUP.
-use crate::ServerLine;
+use crate::ServerRecord;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     pub peers_all: Option<SocketAddr>,
     /// Number of the last change in `servers`.
     pub last: u32,
-    pub servers: Vec<ServerLine>,
+    pub servers: Vec<ServerRecord>,
     /// The settings as `path=value` lines, one a plain value.
     pub terms: String,
     /// Names in the settings, each by its position.
@@ -156,8 +156,8 @@
 }
 
 /// The list that a row of changes leads to.
-fn listed(changes: Vec<Change>) -> Result<Vec<ServerLine>, String> {
-    let mut servers: BTreeMap<String, ServerLine> = BTreeMap::new();
+fn listed(changes: Vec<Change>) -> Result<Vec<ServerRecord>, String> {
+    let mut servers: BTreeMap<String, ServerRecord> = BTreeMap::new();
     for change in changes {
         if change.roster.reset {
             servers.clear();
@@ -172,7 +172,7 @@
                 }
                 other => return Err(format!("known: {}: lifecycle {other:?} is not known", i.instance_id)),
             };
-            let line = ServerLine {
+            let line = ServerRecord {
                 name: i.instance_id.clone(),
                 address: i.host_port,
                 zone: i.zone,
@@ -180,7 +180,7 @@
                 cell: i.cell,
                 draining,
                 weight: i.weight,
-                started: (i.started_at_ms != 0.0).then_some(i.started_at_ms),
+                started_unix_ms: (i.started_at_ms != 0.0).then_some(i.started_at_ms),
             };
             servers.insert(i.instance_id, line);
         }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,5 +1,5 @@
 //! The name service: the list of servers as DNS records (RFC 1035).
-use crate::ServerLine;
+use crate::ServerRecord;
 use simple_dns::rdata::RData;
 use simple_dns::{Name, Packet, PacketFlag, Question, CLASS, QCLASS, QTYPE, RCODE, TYPE};
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
 pub struct Answer {
     /// Number of the last change.
     pub serial: u32,
-    pub servers: Vec<ServerLine>,
+    pub servers: Vec<ServerRecord>,
 }
 
 pub fn query(id: u16) -> Vec<u8> {
@@ -79,7 +79,7 @@
         let mut labels = srv.target.as_bytes().map(|l| String::from_utf8_lossy(l).into_owned());
         let (name, zone) = labels.next().zip(labels.next()).ok_or(Bad::Incomplete)?;
         let started: f64 = text("started")?.parse().map_err(|_| Bad::Incomplete)?;
-        servers.push(ServerLine {
+        servers.push(ServerRecord {
             name,
             address: SocketAddr::from((*address, srv.port)),
             zone,
@@ -87,7 +87,7 @@
             cell: text("cell")?.parse().map_err(|_| Bad::Incomplete)?,
             draining: srv.priority != 0,
             weight: srv.weight as f64 / WEIGHT_SCALE,
-            started: (started.is_finite() && started != 0.0).then_some(started),
+            started_unix_ms: (started.is_finite() && started != 0.0).then_some(started),
         });
     }
     Ok(Answer { serial: serial.ok_or(Bad::Incomplete)?, servers })
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -16,7 +16,7 @@
 
 /// One server as the configuration or the name service tells it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerLine {
+pub struct ServerRecord {
     /// Its id.
     pub name: String,
     pub address: std::net::SocketAddr,
@@ -26,5 +26,5 @@
     pub draining: bool,
     pub weight: f64,
     /// Start of the process in Unix milliseconds, where it was not long ago.
-    pub started: Option<f64>,
+    pub started_unix_ms: Option<f64>,
 }
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -59,19 +59,21 @@
             match r.method() {
                 Method::Teardown => FromServer::Released {
                     id,
-                    cause: text(&named(headers::REASON)).and_then(headers::cause),
+                    cause: text(&named(headers::HEADER_REASON)).and_then(headers::parse_release_cause),
                     cseq: text(&CSEQ).and_then(|v| v.parse().ok()),
-                    report: text(&named(headers::CIRCUITS)).map(headers::circuits).unwrap_or_default(),
+                    report: text(&named(headers::HEADER_CIRCUITS))
+                        .map(headers::parse_load_report)
+                        .unwrap_or_default(),
                 },
                 Method::Announce => {
-                    let note = match text(&named(headers::WHY)) {
+                    let note = match text(&named(headers::HEADER_WHY)) {
                         Some("quality") => Note::Share,
                         Some("profile") => Note::Rung,
                         Some("nic") => Note::Link,
                         Some("tor") => Note::Uplink,
                         _ => return FromServer::Other,
                     };
-                    match text(&named(headers::FIGURE)).and_then(headers::figure) {
+                    match text(&named(headers::HEADER_FIGURE)).and_then(headers::parse_finite) {
                         Some(figure) => FromServer::Note { id, note, figure },
                         None => FromServer::Other,
                     }
@@ -83,7 +85,8 @@
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
             let Some(id) = text(&SESSION).and_then(rtsp::id) else { return FromServer::Other };
             let status: u16 = r.status().into();
-            let report = || text(&named(headers::CIRCUITS)).map(headers::circuits).unwrap_or_default();
+            let report =
+                || text(&named(headers::HEADER_CIRCUITS)).map(headers::parse_load_report).unwrap_or_default();
             match text(&CSEQ) {
                 _ if status < 200 => FromServer::Other,
                 Some("1") => {
@@ -101,9 +104,9 @@
 /// A set-up goes on; `wait`: how long its answer is waited for.
 pub fn setup(wanted: &Wanted, rung: u8, wait: f64) -> Vec<u8> {
     let fields = [
-        (headers::CLASS, wanted.class.clone()),
-        (headers::LIMIT, format!("{}", wait.floor().max(1.0) as u64)),
-        (headers::RUNG, rung.to_string()),
+        (headers::HEADER_CALL_CLASS, wanted.class.clone()),
+        (headers::HEADER_RING_LIMIT, format!("{}", wait.floor().max(1.0) as u64)),
+        (headers::HEADER_RATE_STEP, rung.to_string()),
     ];
     let path = format!("{:016x}", wanted.title);
     rtsp::ask(Method::Setup, &path, 1, wanted.id, &fields, &wanted.description)
@@ -116,7 +119,7 @@
 
 /// A session that stands is to end.
 pub fn release(id: u64, cause: u32) -> Vec<u8> {
-    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::REASON, format!("cause={cause}"))], &[])
+    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::HEADER_REASON, format!("cause={cause}"))], &[])
 }
 
 /// Asks for the load.
@@ -130,7 +133,7 @@
 }
 
 pub fn rung(id: u64, rung: u8) -> Vec<u8> {
-    rtsp::ask(Method::SetParameter, "rung", 4, id, &[(headers::RUNG, rung.to_string())], &[])
+    rtsp::ask(Method::SetParameter, "rung", 4, id, &[(headers::HEADER_RATE_STEP, rung.to_string())], &[])
 }
 
 /// A release was heard.
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -1,5 +1,5 @@
 //! Messages between viewers and a node.
-use crate::headers::{self, Dest};
+use crate::headers::{self, Destination};
 use crate::rtsp::{self, named, Parsed};
 use rtsp_types::headers::{HeaderName, CSEQ, SESSION};
 use rtsp_types::{Method, Request};
@@ -12,7 +12,7 @@
     pub class: String,
     /// How long the viewer waits, from when it sent this.
     pub limit: f64,
-    pub dest: Dest,
+    pub dest: Destination,
     pub description: Vec<u8>,
 }
 
@@ -71,16 +71,19 @@
     let need = |name: &'static str| text(named(name)).ok_or_else(|| format!("{name}: missing"));
     let uri = r.request_uri().ok_or("no address")?;
     let title = uri.as_str().strip_prefix("rtsp://media/").and_then(rtsp::id).ok_or("no title")?;
-    if text(named(headers::HINT)).is_some_and(|h| headers::figure(h).is_none_or(|h| h < 0.0)) {
-        return Err(format!("{}: not a time", headers::HINT));
+    if text(named(headers::HEADER_EXPECTED_MS))
+        .is_some_and(|h| headers::parse_finite(h).is_none_or(|h| h < 0.0))
+    {
+        return Err(format!("{}: not a time", headers::HEADER_EXPECTED_MS));
     }
-    let wait = need(headers::LIMIT)?;
+    let wait = need(headers::HEADER_RING_LIMIT)?;
     Ok(Wanted {
         id: text(SESSION).and_then(rtsp::id).ok_or("Session: missing or no id")?,
         title,
-        class: need(headers::CLASS)?.to_owned(),
-        limit: headers::wait(wait).ok_or_else(|| format!("{}: not a time", headers::LIMIT))?,
-        dest: headers::dest(need(headers::DEST)?)?,
+        class: need(headers::HEADER_CALL_CLASS)?.to_owned(),
+        limit: headers::parse_wait_ms(wait)
+            .ok_or_else(|| format!("{}: not a time", headers::HEADER_RING_LIMIT))?,
+        dest: headers::parse_destination(need(headers::HEADER_DEST)?)?,
         description: r.body().clone(),
     })
 }
@@ -92,7 +95,7 @@
 
 /// Refused: trying again is harmless.
 pub fn busy(id: u64, come_back: Option<f64>) -> Vec<u8> {
-    let hold_off = come_back.map(|t| (headers::HOLD_OFF, format!("{}", t.round().max(0.0) as u64)));
+    let hold_off = come_back.map(|t| (headers::HEADER_HOLD_OFF, format!("{}", t.round().max(0.0) as u64)));
     rtsp::reply(503, Some(1), Some(id), hold_off.as_slice(), &[])
 }
 
@@ -112,5 +115,5 @@
 
 /// A session that stood is over.
 pub fn release(id: u64, cause: u32) -> Vec<u8> {
-    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::REASON, format!("cause={cause}"))], &[])
+    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::HEADER_REASON, format!("cause={cause}"))], &[])
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -129,10 +129,13 @@
 #[test]
 fn reports_and_causes() {
     assert_eq!(
-        headers::circuits("x0:0.8; inflight:nan;queue:3;x"),
+        headers::parse_load_report("x0:0.8; inflight:nan;queue:3;x"),
         [("x0".into(), 0.8), ("queue".into(), 3.0)]
     );
-    assert_eq!((headers::cause("cause=16"), headers::cause("cause=x")), (Some(16), None));
+    assert_eq!(
+        (headers::parse_release_cause("cause=16"), headers::parse_release_cause("cause=x")),
+        (Some(16), None)
+    );
 }
 
 fn answer(id: u16, change: fn(&mut Packet<'static>)) -> Vec<u8> {
@@ -179,7 +182,7 @@
         ("s-00c41f7a", "east", "std")
     );
     assert_eq!((server.address, server.cell), ("10.1.0.9:5060".parse().unwrap(), 2));
-    assert_eq!((server.draining, server.weight, server.started), (true, 4.5, Some(1.7e12)));
+    assert_eq!((server.draining, server.weight, server.started_unix_ms), (true, 4.5, Some(1.7e12)));
     for n in 0..bytes.len() {
         assert!(discovery::read(&bytes[..n], 7).is_err(), "cut at {n}");
     }
