--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/answers.rs
@@ -6,7 +6,7 @@
 use walnutline::ids::{Ms, ServerId, SessId};
 use walnutline::interface::Ending;
 use walnutline_platform::headers;
-use walnutline_platform::server::{self, FromServer, Note, Report};
+use walnutline_platform::server::{self, LoadReport, Quantity, ServerMessage};
 use walnutline_platform::viewer;
 
 impl Node {
@@ -31,7 +31,7 @@
                     self.server_said(conn, server, server::read(message), now);
                 }
                 Ok(None) => {
-                    line.partial = line.reader.is_partial().then(|| line.partial.unwrap_or(now));
+                    line.partial = line.reader.has_partial_message().then(|| line.partial.unwrap_or(now));
                     return;
                 }
                 Err(bad) => {
@@ -43,13 +43,13 @@
         }
     }
 
-    fn server_said(&mut self, conn: ConnId, server: ServerId, said: FromServer, now: Ms) {
+    fn server_said(&mut self, conn: ConnId, server: ServerId, said: ServerMessage, now: Ms) {
         match said {
-            FromServer::Setup { id, status, description, report } => {
+            ServerMessage::SetupResponse { id, status, description, report } => {
                 self.reported(server, &report, now);
                 self.setup_answered(conn, server, SessId(id), status, &description, now);
             }
-            FromServer::Tested { id, status, report } => {
+            ServerMessage::OptionsResponse { id, status, report } => {
                 let what = self.lines.get_mut(&conn).and_then(|l| l.tests.remove(&id));
                 self.reported(server, &report, now);
                 if what == Some(Test::Probe) {
@@ -57,35 +57,35 @@
                     self.desk.probed(server, ending, now);
                 }
             }
-            FromServer::Released { id, cause, cseq, report } => {
+            ServerMessage::Teardown { id, cause, cseq, report } => {
                 self.dos.push(Do::Write { conn, bytes: server::heard(id, cseq) });
                 self.reported(server, &report, now);
                 self.released(conn, server, SessId(id), cause, now);
             }
-            FromServer::Note { id, note, figure } => {
+            ServerMessage::Note { id, note, figure } => {
                 let here = |s: &Session| matches!(s.stage, Stage::Stands { server: at, .. } if at == server);
                 if self.sess.get(&SessId(id)).is_none_or(|s| !here(s)) {
                     return self.early_note(SessId(id), note, figure, now);
                 }
                 match note {
-                    Note::Share => self.desk.share_heard(server, figure, now),
-                    Note::Rung => self.desk.rung_told(SessId(id), figure.clamp(0.0, 255.0) as u8),
-                    Note::Link => self.desk.link_heard(server, figure, now),
-                    Note::Uplink => self.desk.uplink_heard(server, figure, now),
+                    Quantity::DeliveredShare => self.desk.share_heard(server, figure, now),
+                    Quantity::Rung => self.desk.rung_told(SessId(id), figure.clamp(0.0, 255.0) as u8),
+                    Quantity::LinkUse => self.desk.link_heard(server, figure, now),
+                    Quantity::UplinkUse => self.desk.uplink_heard(server, figure, now),
                 }
             }
-            FromServer::Heard { id } => {
+            ServerMessage::TeardownResponse { id } => {
                 if let Some(line) = self.lines.get_mut(&conn) {
                     line.releases.retain(|(_, told)| told.0 != id);
                 }
             }
-            FromServer::Other => {}
+            ServerMessage::Ignored => {}
         }
     }
 
     /// A rung told of a session that is not known: when a node starts, it may be handed over next.
-    fn early_note(&mut self, id: SessId, note: Note, figure: f64, now: Ms) {
-        if note == Note::Rung && self.is_early(id, self.early_rungs.len(), now) {
+    fn early_note(&mut self, id: SessId, note: Quantity, figure: f64, now: Ms) {
+        if note == Quantity::Rung && self.is_early(id, self.early_rungs.len(), now) {
             self.early_rungs.insert(id, figure.clamp(0.0, 255.0) as u8);
         }
     }
@@ -96,10 +96,10 @@
     }
 
     /// A report's figures, in the order that the settings name them.
-    fn reported(&mut self, server: ServerId, report: &Report, now: Ms) {
+    fn reported(&mut self, server: ServerId, report: &LoadReport, now: Ms) {
         if !report.is_empty() {
             let value = |c: &String| report.iter().find(|(name, _)| name == c).map_or(f64::NAN, |(_, v)| *v);
-            let values: Vec<f64> = self.told.columns.iter().map(value).collect();
+            let values: Vec<f64> = self.told.report_columns.iter().map(value).collect();
             self.desk.report(server, &values, now);
         }
     }
--- a/crates/node/src/core/care.rs
+++ b/crates/node/src/core/care.rs
@@ -107,7 +107,7 @@
                     // A release that crosses the close would be lost.
                     _ if used => Ms::INFINITY,
                     0 if s.listing == Listing::Gone => 0.0,
-                    0 => self.told.idle * limits::IDLE_SHARE,
+                    0 => self.told.idle_timeout_ms * limits::IDLE_SHARE,
                     _ => limits::SPARE_IDLE,
                 };
                 if !busy && now - line.used >= keep {
@@ -140,7 +140,7 @@
         let asked = self.sess.values().any(|s| matches!(s.stage, Stage::Asked { .. }));
         // A request of which a part is there is about to be taken.
         let begun = self.viewers.values().any(|v| v.partial.is_some());
-        let last = limits::LAST_SESSIONS + self.told.longest_wait.min(limits::LONGEST_STOP);
+        let last = limits::LAST_SESSIONS + self.told.max_viewer_wait_ms.min(limits::LONGEST_STOP);
         let empty = self.sess.is_empty() && self.owed.is_empty() && !begun;
         let done = empty && now - told >= limits::LAST_REQUESTS;
         if !asked && (done || now - told >= last) {
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -78,7 +78,7 @@
     /// than that is left alone as a whole: what stands in the settings by position holds for the sessions in
     /// hand.
     pub fn configured(&mut self, told: Configuration, now: Ms) {
-        let differs = self.told.differs(&told);
+        let differs = self.told.changes_requiring_restart(&told);
         if !differs.is_empty() {
             let (first, more) = (&differs[..differs.len().min(limits::PATHS_TOLD)], differs.len());
             return self.dos.push(Do::Log(format!(
@@ -86,11 +86,11 @@
                 first.join(" ")
             )));
         }
-        self.names.address = told.names;
+        self.names.address = told.name_service;
         self.names.asked.clear();
         self.names.lower = None;
-        if told.last > self.names.serial {
-            self.names.serial = told.last;
+        if told.server_list_serial > self.names.serial {
+            self.names.serial = told.server_list_serial;
             self.listed(told.servers, now);
         }
         // The questions at intervals go on by themselves.
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -29,7 +29,7 @@
 use walnutline_desk::stall::Stall;
 use walnutline_desk::timers::Timers;
 use walnutline_platform::configuration::Configuration;
-use walnutline_platform::viewer::{self, Wanted};
+use walnutline_platform::viewer::{self, SetupRequest};
 
 /// A SETUP that is out, or waits for a connection that is being opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 enum Stage {
     /// Its answer is owed to this connection.
-    Asked { from: ConnId, wanted: Box<Wanted>, out: Option<Out> },
+    Asked { from: ConnId, wanted: Box<SetupRequest>, out: Option<Out> },
     /// It plays; the connection that its set-up came by, as long as that is open, and since when it is known to stand.
     Stands { from: Option<ConnId>, server: ServerId, since: Ms },
 }
@@ -119,21 +119,21 @@
 impl Node {
     /// A node with the list that its configuration holds; connections to those servers are opened at once.
     pub fn new(told: Configuration, now: Ms) -> Result<Node, String> {
-        let mut terms = Terms::parse(&told.terms).map_err(|e| format!("settings: {e}"))?;
+        let mut terms = Terms::parse(&told.settings_text).map_err(|e| format!("settings: {e}"))?;
         // Changes come here with the answers to questions only, whatever the settings say of a list.
         terms.list = ListWay::Asked { grace: terms.drain_grace };
         // Each node sends its share: as many as either tells.
-        terms.fronts = terms.fronts.max(u32::try_from(told.peers.len()).unwrap_or(u32::MAX));
-        terms.may_tell &= told.peers_all.is_some() && told.peer_listen.is_some();
+        terms.fronts = terms.fronts.max(u32::try_from(told.peer_addresses.len()).unwrap_or(u32::MAX));
+        terms.may_tell &= told.peer_broadcast_address.is_some() && told.peer_listen_address.is_some();
         let servers = told.servers.clone();
-        let most_viewers = limits::viewers(told.sockets, servers.len());
+        let most_viewers = limits::viewers(told.max_sockets, servers.len());
         let mut node = Node {
             desk: Desk::new(terms, told.seed, now),
             zones_told: told.zones.len(),
             sess: BTreeMap::new(),
             viewers: BTreeMap::new(),
             most_viewers,
-            most_lines: limits::lines(told.sockets, most_viewers),
+            most_lines: limits::lines(told.max_sockets, most_viewers),
             last_good: None,
             servers: BTreeMap::new(),
             by_name: BTreeMap::new(),
@@ -141,7 +141,7 @@
             owed: VecDeque::new(),
             early_rungs: BTreeMap::new(),
             early_ends: BTreeMap::new(),
-            names: Names::new(told.names, told.last),
+            names: Names::new(told.name_service, told.server_list_serial),
             timers: Timers::default(),
             stall: Stall::default(),
             rng: fastrand::Rng::with_seed(told.seed ^ 0x6e6f_6465),
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -9,7 +9,7 @@
 
 impl Node {
     pub(super) fn tell(&mut self, news: &[News], now: Ms) {
-        let Some(to) = self.told.peers_all else { return };
+        let Some(to) = self.told.peer_broadcast_address else { return };
         let entry = |n: &News| {
             let s = self.servers.get(&n.server)?;
             let since = (now - s.process).max(0.0);
@@ -22,7 +22,7 @@
     /// A datagram on the address for other front nodes. What does not come from one of them, can't be read or tells of
     /// servers that are not listed is passed over.
     pub fn peer(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
-        if !self.told.peers.contains(&from) {
+        if !self.told.peer_addresses.contains(&from) {
             return;
         }
         let Some(entries) = peers::read(bytes) else { return };
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -9,7 +9,7 @@
 use walnutline::interface::Ending;
 use walnutline_desk::retry::Retry;
 use walnutline_platform::headers;
-use walnutline_platform::rtsp::Reader;
+use walnutline_platform::rtsp::MessageReader;
 use walnutline_platform::server;
 
 pub(super) struct Server {
@@ -57,7 +57,7 @@
 pub(super) struct Line {
     pub server: ServerId,
     pub up: bool,
-    pub reader: Reader,
+    pub reader: MessageReader,
     pub partial: Option<Ms>,
     /// SETUPs that are out on it, or wait for it to open.
     pub out: BTreeSet<SessId>,
@@ -111,7 +111,7 @@
         let line = Line {
             server,
             up: false,
-            reader: Reader::default(),
+            reader: MessageReader::default(),
             partial: None,
             out: BTreeSet::new(),
             tests: BTreeMap::new(),
@@ -122,7 +122,7 @@
             used: now,
         };
         self.lines.insert(conn, line);
-        self.timers.set(now + self.told.connect_within, Due::Connecting { conn });
+        self.timers.set(now + self.told.connect_timeout_ms, Due::Connecting { conn });
         self.dos.push(Do::Connect { conn, address });
         Some(conn)
     }
@@ -438,7 +438,7 @@
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.tests.insert(id, what);
         let (wait, bytes) = match what {
-            Test::Probe => (self.told.probe_within, server::probe(id)),
+            Test::Probe => (self.told.probe_timeout_ms, server::probe(id)),
             Test::There => (limits::TEST_WAIT, server::test(id)),
         };
         self.timers.set(now + wait, Due::Test { conn, id });
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -7,11 +7,11 @@
 use walnutline::ids::{CellNo, GroupNo, Ms, SessId, TitleId};
 use walnutline::interface::{Ending, Holders, Request};
 use walnutline_platform::headers;
-use walnutline_platform::rtsp::Reader;
-use walnutline_platform::viewer::{self, Fault, FromViewer, Wanted};
+use walnutline_platform::rtsp::MessageReader;
+use walnutline_platform::viewer::{self, RequestError, SetupRequest, ViewerMessage};
 
 pub(super) struct Viewer {
-    pub reader: Reader,
+    pub reader: MessageReader,
     pub since: Ms,
     /// When something whole was last read or its last set-up was answered.
     pub used: Ms,
@@ -37,7 +37,7 @@
             return self.dos.push(Do::Close { conn });
         }
         let viewer = Viewer {
-            reader: Reader::default(),
+            reader: MessageReader::default(),
             since: now,
             used: now,
             partial: None,
@@ -80,7 +80,7 @@
     pub(super) fn viewer_closed(&mut self, conn: ConnId, now: Ms) {
         let Some(v) = self.viewers.remove(&conn) else { return };
         if !v.open.is_empty() {
-            let (idle, partial) = (now - v.used, v.reader.is_partial());
+            let (idle, partial) = (now - v.used, v.reader.has_partial_message());
             self.dos.push(Do::Log(format!(
                 "viewer's connection {} ended open={} idle={idle:.0} partial={partial}",
                 conn.0,
@@ -110,14 +110,14 @@
                     }
                 }
                 Ok(None) => {
-                    v.partial = v.reader.is_partial().then(|| v.partial.unwrap_or(at));
+                    v.partial = v.reader.has_partial_message().then(|| v.partial.unwrap_or(at));
                     return;
                 }
                 Err(bad) => {
                     if v.good {
                         self.dos.push(Do::Log(format!("viewer's connection {}: {bad}", conn.0)));
                     }
-                    let fault = Fault { id: None, cseq: None, why: String::new() };
+                    let fault = RequestError { id: None, cseq: None, reason: String::new() };
                     self.refuse(conn, &fault, 400);
                     return self.close_viewer(conn, now);
                 }
@@ -129,28 +129,28 @@
         }
     }
 
-    fn refuse(&mut self, conn: ConnId, fault: &Fault, status: u16) {
+    fn refuse(&mut self, conn: ConnId, fault: &RequestError, status: u16) {
         self.dos.push(Do::Write { conn, bytes: viewer::refused(fault, status) });
     }
 
-    fn said(&mut self, conn: ConnId, said: FromViewer, at: Ms, now: Ms) {
+    fn said(&mut self, conn: ConnId, said: ViewerMessage, at: Ms, now: Ms) {
         match said {
-            FromViewer::Setup(wanted) => {
-                let (id, asks) = (wanted.id, wanted.dest.current_server.is_none());
+            ViewerMessage::Setup(wanted) => {
+                let (id, asks) = (wanted.id, wanted.destination.current_server.is_none());
                 if let Err((why, status)) = self.wanted(conn, wanted, at, now) {
                     self.ledger.taken += u64::from(asks);
                     self.ledger.answered += u64::from(asks);
                     // Told without its id where that is another request's, which this is no answer to.
                     let id = (!self.sess.contains_key(&SessId(id))).then_some(id);
-                    self.refuse(conn, &Fault { id, cseq: Some(1), why: why.into() }, status);
+                    self.refuse(conn, &RequestError { id, cseq: Some(1), reason: why.into() }, status);
                 }
             }
-            FromViewer::Teardown { id, cseq } => self.teardown(conn, id, cseq, now),
-            FromViewer::Test { id, cseq } => {
+            ViewerMessage::Teardown { id, cseq } => self.teardown(conn, id, cseq, now),
+            ViewerMessage::Options { id, cseq } => {
                 let status = if self.stopping.is_some() { 503 } else { 200 };
                 self.dos.push(Do::Write { conn, bytes: viewer::heard(id, cseq, status) });
             }
-            FromViewer::Heard { id } => {
+            ViewerMessage::TeardownResponse { id } => {
                 if let Some(v) = self.viewers.get_mut(&conn) {
                     v.releases.retain(|o| Some(o.id) != id);
                 }
@@ -159,12 +159,12 @@
     }
 
     /// A set-up is wanted, or a session handed over; or why it can't be taken.
-    fn wanted(&mut self, conn: ConnId, w: Wanted, at: Ms, now: Ms) -> Result<(), (&'static str, u16)> {
+    fn wanted(&mut self, conn: ConnId, w: SetupRequest, at: Ms, now: Ms) -> Result<(), (&'static str, u16)> {
         let group = self.told.classes.iter().position(|c| *c == w.class).ok_or(("class", 400))?;
-        let d = &w.dest;
-        let in_range = d.home_cell < self.told.cells
-            && (1..=self.told.cells).contains(&d.copies)
-            && usize::from(d.top_rung) < self.told.rungs;
+        let d = &w.destination;
+        let in_range = d.home_cell < self.told.cell_count
+            && (1..=self.told.cell_count).contains(&d.copies)
+            && usize::from(d.top_rung) < self.told.rung_count;
         if !in_range {
             return Err(("figures", 400));
         }
@@ -176,14 +176,14 @@
             rates: None,
             top: d.top_rung,
             // What passed since it was read counts against its viewer's time.
-            left: w.limit - (now - at),
+            left: w.wait_limit_ms - (now - at),
         };
-        if let Some(name) = &w.dest.current_server {
+        if let Some(name) = &w.destination.current_server {
             let server = self.by_name.get(name).copied();
             self.handed_over(conn, id, server, request, now);
             return Ok(());
         }
-        if w.limit > limits::WAIT_SHARE * self.told.longest_wait {
+        if w.wait_limit_ms > limits::WAIT_SHARE * self.told.max_viewer_wait_ms {
             return Err(("time", 400));
         }
         if self.sess.contains_key(&id) {
@@ -207,12 +207,12 @@
     /// A set-up under an id that is in hand. The same one on another connection is that of a viewer whose
     /// first connection ended before it was answered: its answer goes where it asked last. Anything else is
     /// another's.
-    fn asked_again(&mut self, conn: ConnId, id: SessId, w: &Wanted) -> Result<(), (&'static str, u16)> {
+    fn asked_again(&mut self, conn: ConnId, id: SessId, w: &SetupRequest) -> Result<(), (&'static str, u16)> {
         let stage = self.sess.get_mut(&id).map(|s| &mut s.stage);
         let Some(Stage::Asked { from, wanted, .. }) = stage else {
             return Err(("id of another request", 400));
         };
-        let same = wanted.title == w.title && wanted.class == w.class && wanted.dest == w.dest;
+        let same = wanted.title == w.title && wanted.class == w.class && wanted.destination == w.destination;
         if *from == conn || !same || wanted.description != w.description {
             return Err(("id of another request", 400));
         }
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -151,7 +151,7 @@
             for news in signals.try_iter() {
                 match news {
                     News::Configured(told) => {
-                        tracing::info!(target: "walnutline::mode", names = %told.names, "configuration read anew");
+                        tracing::info!(target: "walnutline::mode", names = %told.name_service, "configuration read anew");
                         self.node.configured(*told, self.woke);
                     }
                     News::Stop { at } => self.node.stop(at),
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -84,7 +84,7 @@
     ])
     .map_err(|e| format!("signals: {e}"))?;
     let told = load(&start)?;
-    let peers = told.peer_listen.and_then(|at| match UdpSocket::bind(at) {
+    let peers = told.peer_listen_address.and_then(|at| match UdpSocket::bind(at) {
         Ok(socket) => Some(socket),
         // Without them it serves all the same.
         Err(e) => {
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -10,32 +10,32 @@
 pub struct Configuration {
     pub seed: u64,
     /// File descriptors that the node may hold.
-    pub sockets: usize,
-    pub names: SocketAddr,
+    pub max_sockets: usize,
+    pub name_service: SocketAddr,
     /// Where datagrams of other front nodes come in, where they come from, and the address of all of them.
-    pub peer_listen: Option<SocketAddr>,
-    pub peers: Vec<SocketAddr>,
-    pub peers_all: Option<SocketAddr>,
+    pub peer_listen_address: Option<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
+    pub peer_broadcast_address: Option<SocketAddr>,
     /// Number of the last change in `servers`.
-    pub last: u32,
+    pub server_list_serial: u32,
     pub servers: Vec<ServerRecord>,
     /// The settings as `path=value` lines, one a plain value.
-    pub terms: String,
+    pub settings_text: String,
     /// Names in the settings, each by its position.
     pub classes: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// Names of the figures in a load report, in the terms' order.
-    pub columns: Vec<String>,
-    pub cells: u32,
-    pub rungs: usize,
+    pub report_columns: Vec<String>,
+    pub cell_count: u32,
+    pub rung_count: usize,
     /// How long a connection may take to open, and how long one is kept open idle.
-    pub connect_within: f64,
-    pub idle: f64,
+    pub connect_timeout_ms: f64,
+    pub idle_timeout_ms: f64,
     /// How long the answer to a probe is waited for.
-    pub probe_within: f64,
+    pub probe_timeout_ms: f64,
     /// The longest that a viewer of any class waits.
-    pub longest_wait: f64,
+    pub max_viewer_wait_ms: f64,
 }
 
 #[derive(Deserialize)]
@@ -106,47 +106,48 @@
     let waits = classes.iter().filter_map(|c| c.get("hard_limit")?.as_f64());
     Ok(Configuration {
         seed: u64::from_str_radix(&d.seed, 16).map_err(|_| "seed: not a number in hex digits")?,
-        sockets: d.limits.sockets,
-        names: d.names,
-        peer_listen: d.peer_listen,
-        peers: d.peers,
-        peers_all: d.peers_all,
-        last: d.known.no,
+        max_sockets: d.limits.sockets,
+        name_service: d.names,
+        peer_listen_address: d.peer_listen,
+        peer_addresses: d.peers,
+        peer_broadcast_address: d.peers_all,
+        server_list_serial: d.known.no,
         servers: listed(d.known.items)?,
-        terms: flat(&d.settings),
+        settings_text: flat(&d.settings),
         classes: names("/classes"),
         zones: names("/zones"),
         kinds: names("/kinds"),
-        columns: names("/reporting/columns"),
-        cells: need("/family_info/places")? as u32,
-        rungs: at("/family_info/level_kb").and_then(Value::as_array).map_or(0, Vec::len),
-        connect_within: need("/limits/connect_timeout")?,
-        idle: need("/limits/keepalive")?,
-        probe_within: need("/limits/probe_timeout").or_else(|_| need("/limits/connect_timeout"))?,
-        longest_wait: waits.fold(0.0, f64::max),
+        report_columns: names("/reporting/columns"),
+        cell_count: need("/family_info/places")? as u32,
+        rung_count: at("/family_info/level_kb").and_then(Value::as_array).map_or(0, Vec::len),
+        connect_timeout_ms: need("/limits/connect_timeout")?,
+        idle_timeout_ms: need("/limits/keepalive")?,
+        probe_timeout_ms: need("/limits/probe_timeout").or_else(|_| need("/limits/connect_timeout"))?,
+        max_viewer_wait_ms: waits.fold(0.0, f64::max),
     })
 }
 
 impl Configuration {
     /// Paths of what another document tells differently and a running node does not take up: all but the name
     /// service's address, the list, and the seed, which is new with each start.
-    pub fn differs(&self, other: &Configuration) -> Vec<String> {
+    pub fn changes_requiring_restart(&self, other: &Configuration) -> Vec<String> {
         let rest = [
-            ("limits.sockets", self.sockets != other.sockets),
-            ("peer_listen", self.peer_listen != other.peer_listen),
-            ("peers", self.peers != other.peers),
-            ("peers_all", self.peers_all != other.peers_all),
+            ("limits.sockets", self.max_sockets != other.max_sockets),
+            ("peer_listen", self.peer_listen_address != other.peer_listen_address),
+            ("peers", self.peer_addresses != other.peer_addresses),
+            ("peers_all", self.peer_broadcast_address != other.peer_broadcast_address),
         ];
         let lines = |terms: &str| -> BTreeMap<String, String> {
             terms.lines().filter_map(|l| l.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
         };
-        let (ours, theirs) = (lines(&self.terms), lines(&other.terms));
+        let (ours, theirs) = (lines(&self.settings_text), lines(&other.settings_text));
         let both: BTreeSet<&String> = ours.keys().chain(theirs.keys()).collect();
         let settings = both.into_iter().filter(|path| ours.get(*path) != theirs.get(*path));
         let mut paths: Vec<String> = settings.map(|path| format!("settings.{path}")).collect();
         // The lines fold what would part them: names are compared as they are told.
-        let names =
-            |c: &Configuration| (c.classes.clone(), c.zones.clone(), c.kinds.clone(), c.columns.clone());
+        let names = |c: &Configuration| {
+            (c.classes.clone(), c.zones.clone(), c.kinds.clone(), c.report_columns.clone())
+        };
         if paths.is_empty() && names(self) != names(other) {
             paths.push("settings: names".into());
         }
--- a/crates/platform/src/rtsp.rs
+++ b/crates/platform/src/rtsp.rs
@@ -4,37 +4,37 @@
 use rtsp_types::{Message as Raw, Method, Request, Response, StatusCode, Url, Version};
 
 /// Longest message that the platform allows, in bytes.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-pub type Parsed = Raw<Vec<u8>>;
+pub type Message = Raw<Vec<u8>>;
 
 /// Why a stream is of no more use. Where the next message would begin is not known after any of these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
+pub enum FramingError {
     TooLong,
-    Length,
-    Unreadable,
+    BadContentLength,
+    NotRtsp,
     /// What follows a message is no message: its length was told wrong, and nothing says where it truly ends.
-    Trailing,
+    UnexpectedBytes,
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for FramingError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Bad::TooLong => "message too long",
-            Bad::Length => "bad Content-Length",
-            Bad::Unreadable => "not RTSP",
-            Bad::Trailing => "length does not fit",
+            FramingError::TooLong => "message too long",
+            FramingError::BadContentLength => "bad Content-Length",
+            FramingError::NotRtsp => "not RTSP",
+            FramingError::UnexpectedBytes => "length does not fit",
         })
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct MessageReader {
     buffer: Vec<u8>,
 }
 
-impl Reader {
+impl MessageReader {
     /// Takes more bytes; callers ask for messages after each piece, so that no more than a piece beyond one
     /// message is ever held.
     pub fn push(&mut self, bytes: &[u8]) {
@@ -42,17 +42,17 @@
     }
 
     /// Bytes that are held for a message that is not whole.
-    pub fn held(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
     /// Whether a message has begun and is not whole.
-    pub fn is_partial(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// The next whole message, if there is one. After an error the stream is of no more use.
-    pub fn next_message(&mut self) -> Result<Option<Parsed>, Bad> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, FramingError> {
         let blank = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         self.buffer.drain(..blank);
         if self.buffer.is_empty() {
@@ -60,24 +60,25 @@
             return Ok(None);
         }
         if !may_begin(&self.buffer) {
-            return Err(Bad::Unreadable);
+            return Err(FramingError::NotRtsp);
         }
         let Some(head) = find(&self.buffer, b"\r\n\r\n").map(|at| at + 4) else {
-            return if self.buffer.len() > LONGEST { Err(Bad::TooLong) } else { Ok(None) };
+            return if self.buffer.len() > MAX_MESSAGE_BYTES { Err(FramingError::TooLong) } else { Ok(None) };
         };
-        let whole = head.checked_add(content_length(&self.buffer[..head])?).ok_or(Bad::Length)?;
-        if whole > LONGEST {
-            return Err(Bad::TooLong);
+        let whole =
+            head.checked_add(content_length(&self.buffer[..head])?).ok_or(FramingError::BadContentLength)?;
+        if whole > MAX_MESSAGE_BYTES {
+            return Err(FramingError::TooLong);
         }
         if self.buffer.len() < whole {
             return Ok(None);
         }
         if !may_begin(&self.buffer[whole..]) {
-            return Err(Bad::Trailing);
+            return Err(FramingError::UnexpectedBytes);
         }
-        let (message, used) = Raw::parse(&self.buffer[..whole]).map_err(|_| Bad::Unreadable)?;
+        let (message, used) = Raw::parse(&self.buffer[..whole]).map_err(|_| FramingError::NotRtsp)?;
         if used != whole {
-            return Err(Bad::Length);
+            return Err(FramingError::BadContentLength);
         }
         self.buffer.drain(..whole);
         Ok(Some(message))
@@ -114,7 +115,7 @@
     bytes.windows(what.len()).position(|w| w == what)
 }
 
-fn content_length(head: &[u8]) -> Result<usize, Bad> {
+fn content_length(head: &[u8]) -> Result<usize, FramingError> {
     let mut told = None;
     for line in head.split(|b| *b == b'\n') {
         let Some(colon) = line.iter().position(|b| *b == b':') else { continue };
@@ -124,25 +125,25 @@
         let value = line[colon + 1..].trim_ascii();
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let value = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-        if told.replace(value.ok_or(Bad::Length)?).is_some() {
-            return Err(Bad::Length);
+        if told.replace(value.ok_or(FramingError::BadContentLength)?).is_some() {
+            return Err(FramingError::BadContentLength);
         }
     }
     Ok(told.unwrap_or(0))
 }
 
 /// A session's id: 16 lower-case hex digits, so that it is written again as it was read.
-pub fn id(text: &str) -> Option<u64> {
+pub fn parse_session_id(text: &str) -> Option<u64> {
     let lower = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     (text.len() == 16 && text.bytes().all(lower)).then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-pub(crate) fn named(name: &'static str) -> HeaderName {
+pub(crate) fn header_name(name: &'static str) -> HeaderName {
     HeaderName::from_static_str(name).expect("a name of letters")
 }
 
 /// The bytes of a request. `path` is what follows `rtsp://media/`.
-pub(crate) fn ask(
+pub(crate) fn encode_request(
     method: Method,
     path: &str,
     cseq: u32,
@@ -158,7 +159,7 @@
         b = b.request_uri(uri);
     }
     for (name, value) in fields {
-        b = b.header(named(name), value.as_str());
+        b = b.header(header_name(name), value.as_str());
     }
     let mut bytes = Vec::with_capacity(256 + body.len());
     // Writing to memory does not fail.
@@ -167,7 +168,7 @@
 }
 
 /// The bytes of an answer.
-pub(crate) fn reply(
+pub(crate) fn encode_response(
     status: u16,
     cseq: Option<u32>,
     id: Option<u64>,
@@ -183,7 +184,7 @@
         b = b.header(SESSION, format!("{id:016x}"));
     }
     for (name, value) in fields {
-        b = b.header(named(name), value.as_str());
+        b = b.header(header_name(name), value.as_str());
     }
     let mut bytes = Vec::with_capacity(192 + body.len());
     let _ = b.build(body).write(&mut bytes);
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -1,142 +1,166 @@
 //! Messages between a node and servers.
 use crate::headers;
-use crate::rtsp::{self, named, Parsed};
-use crate::viewer::Wanted;
+use crate::rtsp::{self, header_name, Message};
+use crate::viewer::SetupRequest;
 use rtsp_types::headers::{HeaderName, CSEQ, SESSION};
 use rtsp_types::Method;
 
-pub type Report = Vec<(String, f64)>;
+pub type LoadReport = Vec<(String, f64)>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Note {
-    Share,
+pub enum Quantity {
+    DeliveredShare,
     Rung,
-    Link,
-    Uplink,
+    LinkUse,
+    UplinkUse,
 }
 
 #[derive(Debug, PartialEq)]
-pub enum FromServer {
+pub enum ServerMessage {
     /// The answer to a set-up.
-    Setup {
+    SetupResponse {
         id: u64,
         status: u16,
         description: Vec<u8>,
-        report: Report,
+        report: LoadReport,
     },
     /// The answer to a test.
-    Tested {
+    OptionsResponse {
         id: u64,
         status: u16,
-        report: Report,
+        report: LoadReport,
     },
     /// A session is over.
-    Released {
+    Teardown {
         id: u64,
         cause: Option<u32>,
         cseq: Option<u32>,
-        report: Report,
+        report: LoadReport,
     },
     /// A release was heard.
-    Heard {
+    TeardownResponse {
         id: u64,
     },
     Note {
         id: u64,
-        note: Note,
+        note: Quantity,
         figure: f64,
     },
     /// Progress, what wants no answer, and what means nothing here.
-    Other,
+    Ignored,
 }
 
 /// What a message of a server says; what it leaves out or tells unreadably makes it one that says nothing.
-pub fn read(message: Parsed) -> FromServer {
+pub fn read(message: Message) -> ServerMessage {
     match message {
-        Parsed::Request(r) => {
+        Message::Request(r) => {
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
-            let Some(id) = text(&SESSION).and_then(rtsp::id) else { return FromServer::Other };
+            let Some(id) = text(&SESSION).and_then(rtsp::parse_session_id) else {
+                return ServerMessage::Ignored;
+            };
             match r.method() {
-                Method::Teardown => FromServer::Released {
+                Method::Teardown => ServerMessage::Teardown {
                     id,
-                    cause: text(&named(headers::HEADER_REASON)).and_then(headers::parse_release_cause),
+                    cause: text(&header_name(headers::HEADER_REASON)).and_then(headers::parse_release_cause),
                     cseq: text(&CSEQ).and_then(|v| v.parse().ok()),
-                    report: text(&named(headers::HEADER_CIRCUITS))
+                    report: text(&header_name(headers::HEADER_CIRCUITS))
                         .map(headers::parse_load_report)
                         .unwrap_or_default(),
                 },
                 Method::Announce => {
-                    let note = match text(&named(headers::HEADER_WHY)) {
-                        Some("quality") => Note::Share,
-                        Some("profile") => Note::Rung,
-                        Some("nic") => Note::Link,
-                        Some("tor") => Note::Uplink,
-                        _ => return FromServer::Other,
+                    let note = match text(&header_name(headers::HEADER_WHY)) {
+                        Some("quality") => Quantity::DeliveredShare,
+                        Some("profile") => Quantity::Rung,
+                        Some("nic") => Quantity::LinkUse,
+                        Some("tor") => Quantity::UplinkUse,
+                        _ => return ServerMessage::Ignored,
                     };
-                    match text(&named(headers::HEADER_FIGURE)).and_then(headers::parse_finite) {
-                        Some(figure) => FromServer::Note { id, note, figure },
-                        None => FromServer::Other,
+                    match text(&header_name(headers::HEADER_FIGURE)).and_then(headers::parse_finite) {
+                        Some(figure) => ServerMessage::Note { id, note, figure },
+                        None => ServerMessage::Ignored,
                     }
                 }
-                _ => FromServer::Other,
+                _ => ServerMessage::Ignored,
             }
         }
-        Parsed::Response(r) => {
+        Message::Response(r) => {
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
-            let Some(id) = text(&SESSION).and_then(rtsp::id) else { return FromServer::Other };
+            let Some(id) = text(&SESSION).and_then(rtsp::parse_session_id) else {
+                return ServerMessage::Ignored;
+            };
             let status: u16 = r.status().into();
-            let report =
-                || text(&named(headers::HEADER_CIRCUITS)).map(headers::parse_load_report).unwrap_or_default();
+            let report = || {
+                text(&header_name(headers::HEADER_CIRCUITS))
+                    .map(headers::parse_load_report)
+                    .unwrap_or_default()
+            };
             match text(&CSEQ) {
-                _ if status < 200 => FromServer::Other,
-                Some("1") => {
-                    FromServer::Setup { id, status, report: report(), description: r.body().clone() }
-                }
-                Some("2") => FromServer::Heard { id },
-                Some("3") => FromServer::Tested { id, status, report: report() },
-                _ => FromServer::Other,
+                _ if status < 200 => ServerMessage::Ignored,
+                Some("1") => ServerMessage::SetupResponse {
+                    id,
+                    status,
+                    report: report(),
+                    description: r.body().clone(),
+                },
+                Some("2") => ServerMessage::TeardownResponse { id },
+                Some("3") => ServerMessage::OptionsResponse { id, status, report: report() },
+                _ => ServerMessage::Ignored,
             }
         }
-        Parsed::Data(_) => FromServer::Other,
+        Message::Data(_) => ServerMessage::Ignored,
     }
 }
 
 /// A set-up goes on; `wait`: how long its answer is waited for.
-pub fn setup(wanted: &Wanted, rung: u8, wait: f64) -> Vec<u8> {
+pub fn setup(wanted: &SetupRequest, rung: u8, wait: f64) -> Vec<u8> {
     let fields = [
         (headers::HEADER_CALL_CLASS, wanted.class.clone()),
         (headers::HEADER_RING_LIMIT, format!("{}", wait.floor().max(1.0) as u64)),
         (headers::HEADER_RATE_STEP, rung.to_string()),
     ];
     let path = format!("{:016x}", wanted.title);
-    rtsp::ask(Method::Setup, &path, 1, wanted.id, &fields, &wanted.description)
+    rtsp::encode_request(Method::Setup, &path, 1, wanted.id, &fields, &wanted.description)
 }
 
 /// A set-up is given up.
 pub fn give_up(id: u64) -> Vec<u8> {
-    rtsp::ask(Method::Teardown, "over", 2, id, &[], &[])
+    rtsp::encode_request(Method::Teardown, "over", 2, id, &[], &[])
 }
 
 /// A session that stands is to end.
 pub fn release(id: u64, cause: u32) -> Vec<u8> {
-    rtsp::ask(Method::Teardown, "over", 2, id, &[(headers::HEADER_REASON, format!("cause={cause}"))], &[])
+    rtsp::encode_request(
+        Method::Teardown,
+        "over",
+        2,
+        id,
+        &[(headers::HEADER_REASON, format!("cause={cause}"))],
+        &[],
+    )
 }
 
 /// Asks for the load.
 pub fn probe(id: u64) -> Vec<u8> {
-    rtsp::ask(Method::Options, "load", 3, id, &[], &[])
+    rtsp::encode_request(Method::Options, "load", 3, id, &[], &[])
 }
 
 /// Asks whether it is there.
 pub fn test(id: u64) -> Vec<u8> {
-    rtsp::ask(Method::Options, "ping", 3, id, &[], &[])
+    rtsp::encode_request(Method::Options, "ping", 3, id, &[], &[])
 }
 
 pub fn rung(id: u64, rung: u8) -> Vec<u8> {
-    rtsp::ask(Method::SetParameter, "rung", 4, id, &[(headers::HEADER_RATE_STEP, rung.to_string())], &[])
+    rtsp::encode_request(
+        Method::SetParameter,
+        "rung",
+        4,
+        id,
+        &[(headers::HEADER_RATE_STEP, rung.to_string())],
+        &[],
+    )
 }
 
 /// A release was heard.
 pub fn heard(id: u64, cseq: Option<u32>) -> Vec<u8> {
-    rtsp::reply(200, cseq, Some(id), &[], &[])
+    rtsp::encode_response(200, cseq, Some(id), &[], &[])
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -5,9 +5,9 @@
 use test_case::test_case;
 use walnutline::terms::Terms;
 use walnutline_platform::discovery::{self, Bad as BadNames};
-use walnutline_platform::rtsp::{Bad, Reader, LONGEST};
-use walnutline_platform::server::{self, FromServer};
-use walnutline_platform::viewer::{self, FromViewer};
+use walnutline_platform::rtsp::{FramingError, MessageReader, MAX_MESSAGE_BYTES};
+use walnutline_platform::server::{self, ServerMessage};
+use walnutline_platform::viewer::{self, ViewerMessage};
 use walnutline_platform::{configuration, headers};
 
 const NODE: &str = include_str!("node.json");
@@ -19,12 +19,12 @@
 
 const GOOD: &str = "X-Ring-Limit: 1500\r\nX-Dest: home:4;copies:3;top:4;viewer:00000000b4d65521\r\n";
 
-fn all(bytes: &[u8], piece: usize) -> Result<Vec<FromViewer>, String> {
-    let (mut reader, mut said) = (Reader::default(), Vec::new());
+fn all(bytes: &[u8], piece: usize) -> Result<Vec<ViewerMessage>, String> {
+    let (mut reader, mut said) = (MessageReader::default(), Vec::new());
     for piece in bytes.chunks(piece) {
         reader.push(piece);
         while let Some(m) = reader.next_message().map_err(|b| b.to_string())? {
-            said.push(viewer::read(m).map_err(|f| f.why)?);
+            said.push(viewer::read(m).map_err(|f| f.reason)?);
         }
     }
     Ok(said)
@@ -36,11 +36,11 @@
     #[test]
     fn what_never_ends_is_bounded(byte in any::<u8>(), piece in 1usize..5_000, length in 0usize..50_000) {
         let head = format!("SETUP rtsp://media/0 RTSP/1.0\r\nContent-Length: {length}\r\nX: ");
-        let endless = [head.as_bytes(), &vec![byte; 3 * LONGEST]].concat();
-        let mut reader = Reader::default();
+        let endless = [head.as_bytes(), &vec![byte; 3 * MAX_MESSAGE_BYTES]].concat();
+        let mut reader = MessageReader::default();
         let refused = endless.chunks(piece).any(|piece| {
             reader.push(piece);
-            assert!(reader.held() <= LONGEST + piece.len(), "{} held", reader.held());
+            assert!(reader.buffered_len() <= MAX_MESSAGE_BYTES + piece.len(), "{} held", reader.buffered_len());
             reader.next_message().is_err()
         });
         prop_assert!(refused);
@@ -70,7 +70,7 @@
         let text = String::from_utf8(setup(&format!("{id:016x}"), GOOD, &body)).unwrap();
         let text = text.replace("7f3a9c21e0b4d655", &format!("{title:016x}"));
         let said = all(text.as_bytes(), piece).unwrap();
-        let [FromViewer::Setup(wanted)] = &said[..] else { panic!("{said:?}") };
+        let [ViewerMessage::Setup(wanted)] = &said[..] else { panic!("{said:?}") };
         let on = server::setup(wanted, rung, 152.9);
         let on = String::from_utf8(on).unwrap();
         let (head, rest) = on.split_once("\r\n\r\n").unwrap();
@@ -85,35 +85,35 @@
     /// An answer's description is passed on byte for byte, whatever bytes it has.
     #[test]
     fn a_description_is_passed_on(body in prop::collection::vec(any::<u8>(), 0..300), id in any::<u64>()) {
-        let mut reader = Reader::default();
+        let mut reader = MessageReader::default();
         reader.push(&viewer::plays(id, &body));
         let said = server::read(reader.next_message().unwrap().unwrap());
-        prop_assert_eq!(said, FromServer::Setup { id, status: 200, description: body, report: vec![] });
+        prop_assert_eq!(said, ServerMessage::SetupResponse { id, status: 200, description: body, report: vec![] });
     }
 }
 
-#[test_case(b"\x00\x01\x02 rubbish" => Some(Bad::Unreadable); "rubbish")]
-#[test_case(b"SETUP rtsp://media/0 RTSP/1.0\r\nContent-Length: -5\r\n\r\n" => Some(Bad::Length); "negative")]
-#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx" => Some(Bad::TooLong); "3 GB")]
-#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n" => Some(Bad::Length); "huge")]
-#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx" => Some(Bad::Length); "two lengths")]
-#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nc=IN IP4" => Some(Bad::Trailing); "length too short")]
+#[test_case(b"\x00\x01\x02 rubbish" => Some(FramingError::NotRtsp); "rubbish")]
+#[test_case(b"SETUP rtsp://media/0 RTSP/1.0\r\nContent-Length: -5\r\n\r\n" => Some(FramingError::BadContentLength); "negative")]
+#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx" => Some(FramingError::TooLong); "3 GB")]
+#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n" => Some(FramingError::BadContentLength); "huge")]
+#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx" => Some(FramingError::BadContentLength); "two lengths")]
+#[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nc=IN IP4" => Some(FramingError::UnexpectedBytes); "length too short")]
 #[test_case(b"RTSP/1.0 200 OK\r\nContent-Length: 9\r\n\r\nc=IN" => None; "not whole")]
-fn what_is_wrong_is_told_at_once(bytes: &[u8]) -> Option<Bad> {
-    let mut reader = Reader::default();
+fn what_is_wrong_is_told_at_once(bytes: &[u8]) -> Option<FramingError> {
+    let mut reader = MessageReader::default();
     reader.push(bytes);
     reader.next_message().err()
 }
 
 #[test]
 fn an_endless_line_is_cut_off() {
-    let mut reader = Reader::default();
+    let mut reader = MessageReader::default();
     reader.push(b"SETUP rtsp://media/");
-    let ended = (0..LONGEST / 64 + 1).find_map(|_| {
+    let ended = (0..MAX_MESSAGE_BYTES / 64 + 1).find_map(|_| {
         reader.push(&[b'a'; 64]);
         reader.next_message().err()
     });
-    assert_eq!(ended, Some(Bad::TooLong));
+    assert_eq!(ended, Some(FramingError::TooLong));
 }
 
 #[test_case("9b1f03aa5c7e2d41", GOOD => None; "good")]
@@ -205,13 +205,19 @@
         reporting.columns=inflight,x0\nreporting.via=pull\nsafety.cold=12000.0\nsafety.cold_from=0.4\n\
         safety.drain_grace=250.0\nsafety.tip_after=1000.0\nsafety.tip_multiple=2.0\n";
     let terms = |text: &str| format!("{:?}", Terms::parse(text).unwrap());
-    assert_eq!(terms(&told.terms), terms(lines));
+    assert_eq!(terms(&told.settings_text), terms(lines));
     assert_eq!(
         told.servers.iter().map(|s| s.name.as_str()).collect::<Vec<_>>(),
         ["s-00000001", "s-00000002"]
     );
-    assert_eq!((told.last, told.sockets, told.cells, told.rungs), (3, 256, 12, 5));
-    assert_eq!((told.connect_within, told.idle, told.longest_wait), (250.0, 30_000.0, 3_000.0));
+    assert_eq!(
+        (told.server_list_serial, told.max_sockets, told.cell_count, told.rung_count),
+        (3, 256, 12, 5)
+    );
+    assert_eq!(
+        (told.connect_timeout_ms, told.idle_timeout_ms, told.max_viewer_wait_ms),
+        (250.0, 30_000.0, 3_000.0)
+    );
 }
 
 #[test]
@@ -283,7 +289,7 @@
     let (old, new) =
         (configuration::read(NODE).unwrap(), configuration::read(&NODE.replace(from, to)).unwrap());
     assert!(NODE.contains(from));
-    old.differs(&new)
+    old.changes_requiring_restart(&new)
 }
 
 /// Names that the lines of the settings fold into one are still two.
@@ -292,5 +298,5 @@
     let named = |name: &str| configuration::read(&NODE.replace("council-notice", name)).unwrap();
     let (comma, space) = (named("board,loop"), named("board loop"));
     assert_eq!((&comma.classes[1], &space.classes[1]), (&"board,loop".into(), &"board loop".into()));
-    assert_eq!(comma.differs(&space), ["settings: names"]);
+    assert_eq!(comma.changes_requiring_restart(&space), ["settings: names"]);
 }
