--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/answers.rs
@@ -28,7 +28,7 @@
             match line.reader.next_message() {
                 Ok(Some(message)) => {
                     line.partial = None;
-                    self.server_said(conn, server, server::read(message), now);
+                    self.server_said(conn, server, server::parse_message(message), now);
                 }
                 Ok(None) => {
                     line.partial = line.reader.has_partial_message().then(|| line.partial.unwrap_or(now));
@@ -58,11 +58,11 @@
                 }
             }
             ServerMessage::Teardown { id, cause, cseq, report } => {
-                self.dos.push(Do::Write { conn, bytes: server::heard(id, cseq) });
+                self.dos.push(Do::Write { conn, bytes: server::teardown_response(id, cseq) });
                 self.reported(server, &report, now);
                 self.released(conn, server, SessId(id), cause, now);
             }
-            ServerMessage::Note { id, note, figure } => {
+            ServerMessage::Announcement { id, quantity: note, value: figure } => {
                 let here = |s: &Session| matches!(s.stage, Stage::Stands { server: at, .. } if at == server);
                 if self.sess.get(&SessId(id)).is_none_or(|s| !here(s)) {
                     return self.early_note(SessId(id), note, figure, now);
@@ -151,7 +151,7 @@
             v.open.remove(&id);
             v.used = now;
         }
-        self.dos.push(Do::Write { conn: from, bytes: viewer::plays(id.0, description) });
+        self.dos.push(Do::Write { conn: from, bytes: viewer::setup_response(id.0, description) });
         self.desk.started(id, now);
     }
 
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -54,7 +54,7 @@
             self.names.asked.pop_front();
         }
         self.names.asked.push_back(id);
-        self.dos.push(Do::Query { to: self.names.address, bytes: discovery::query(id) });
+        self.dos.push(Do::Query { to: self.names.address, bytes: discovery::encode_query(id) });
     }
 
     /// A datagram that came from there. What is not a good answer to one of the last questions, or is older than
@@ -65,7 +65,7 @@
         }
         let id = u16::from_be_bytes([bytes[0], bytes[1]]);
         let Some(at) = self.names.asked.iter().position(|a| *a == id) else { return };
-        let Ok(answer) = discovery::read(bytes, id) else { return };
+        let Ok(answer) = discovery::parse_answer(bytes, id) else { return };
         self.names.asked.remove(at);
         if self.names.is_newer(answer.serial, now) {
             self.names.serial = answer.serial;
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -214,8 +214,10 @@
                 Action::Rung { id, rung } => self.rung(id, rung),
                 Action::Probe { server } => self.probe(server, now),
                 Action::AskList => self.ask_list(),
-                Action::BusyReply { id, come_back } => self.answer(id, viewer::busy(id.0, come_back)),
-                Action::TornDown { id } => self.answer(id, viewer::torn_down(id.0)),
+                Action::BusyReply { id, come_back } => {
+                    self.answer(id, viewer::busy_response(id.0, come_back))
+                }
+                Action::TornDown { id } => self.answer(id, viewer::setup_failed_response(id.0)),
                 Action::Tell(news) => self.tell(&news, now),
                 Action::Log(line) => self.dos.push(Do::Log(line)),
                 Action::AgainAt(at) => self.again_at = at,
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -5,7 +5,7 @@
 use walnutline::fleet::Listing;
 use walnutline::ids::{Ms, ServerId};
 use walnutline::interface::News;
-use walnutline_platform::peers::{self, Entry};
+use walnutline_platform::peers::{self, ServerStatus};
 
 impl Node {
     pub(super) fn tell(&mut self, news: &[News], now: Ms) {
@@ -13,10 +13,16 @@
         let entry = |n: &News| {
             let s = self.servers.get(&n.server)?;
             let since = (now - s.process).max(0.0);
-            Some(Entry { server: peers::hash(&s.name), age: n.age, streams: n.streams, link: n.link, since })
+            Some(ServerStatus {
+                name_hash: peers::hash_server_name(&s.name),
+                age_ms: n.age,
+                stream_share: n.streams,
+                link_use: n.link,
+                known_uptime_ms: since,
+            })
         };
-        let entries: Vec<Entry> = news.iter().filter_map(entry).collect();
-        self.dos.push(Do::Tell { to, bytes: peers::write(&entries) });
+        let entries: Vec<ServerStatus> = news.iter().filter_map(entry).collect();
+        self.dos.push(Do::Tell { to, bytes: peers::encode(&entries) });
     }
 
     /// A datagram on the address for other front nodes. What does not come from one of them, can't be read or tells of
@@ -25,21 +31,21 @@
         if !self.told.peer_addresses.contains(&from) {
             return;
         }
-        let Some(entries) = peers::read(bytes) else { return };
+        let Some(entries) = peers::decode(bytes) else { return };
         let mut by_hash: Vec<(u32, ServerId)> = Vec::with_capacity(self.servers.len());
         let there = self.servers.iter().filter(|(_, s)| s.listing != Listing::Gone);
-        by_hash.extend(there.map(|(id, s)| (peers::hash(&s.name), *id)));
+        by_hash.extend(there.map(|(id, s)| (peers::hash_server_name(&s.name), *id)));
         by_hash.sort_unstable();
-        let news = |e: &Entry| {
-            let first = by_hash.partition_point(|(hash, _)| *hash < e.server);
+        let news = |e: &ServerStatus| {
+            let first = by_hash.partition_point(|(hash, _)| *hash < e.name_hash);
             let (hash, server) = *by_hash.get(first)?;
-            let two = by_hash.get(first + 1).is_some_and(|(next, _)| *next == e.server);
-            (hash == e.server && !two).then_some(News {
+            let two = by_hash.get(first + 1).is_some_and(|(next, _)| *next == e.name_hash);
+            (hash == e.name_hash && !two).then_some(News {
                 server,
-                streams: e.streams,
-                link: e.link,
-                age: e.age,
-                since: e.since,
+                streams: e.stream_share,
+                link: e.link_use,
+                age: e.age_ms,
+                since: e.known_uptime_ms,
             })
         };
         let news: Vec<News> = entries.iter().filter_map(news).collect();
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -344,7 +344,7 @@
         }
         out.written = true;
         self.lines.get_mut(&out.line).into_iter().for_each(|line| line.used = now);
-        Some(server::setup(wanted, rung, sess.until - now))
+        Some(server::setup_request(wanted, rung, sess.until - now))
     }
 
     /// The connection of a SETUP takes nothing now: it never left, and another server may be asked.
@@ -382,7 +382,7 @@
         line.out.remove(&id);
         if out.written {
             line.is_over(id);
-            self.dos.push(Do::Write { conn: out.line, bytes: server::give_up(id.0) });
+            self.dos.push(Do::Write { conn: out.line, bytes: server::setup_cancel_request(id.0) });
         }
     }
 
@@ -401,8 +401,8 @@
 
     pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessId, what: Unsent, now: Ms) {
         let bytes = match what {
-            Unsent::Rung(rung) => server::rung(id.0, rung),
-            Unsent::Release => server::release(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
+            Unsent::Rung(rung) => server::rung_request(id.0, rung),
+            Unsent::Release => server::release_request(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
         };
         if let (Unsent::Release, Some(line)) = (what, self.lines.get_mut(&conn)) {
             line.releases.retain(|(at, _)| now - at < limits::RELEASE_KEPT);
@@ -438,8 +438,8 @@
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.tests.insert(id, what);
         let (wait, bytes) = match what {
-            Test::Probe => (self.told.probe_timeout_ms, server::probe(id)),
-            Test::There => (limits::TEST_WAIT, server::test(id)),
+            Test::Probe => (self.told.probe_timeout_ms, server::load_probe_request(id)),
+            Test::There => (limits::TEST_WAIT, server::ping_request(id)),
         };
         self.timers.set(now + wait, Due::Test { conn, id });
         self.dos.push(Do::Write { conn, bytes });
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -104,7 +104,7 @@
             match v.reader.next_message() {
                 Ok(Some(message)) => {
                     (v.spoke, v.used) = (true, now);
-                    match viewer::read(message) {
+                    match viewer::parse_message(message) {
                         Ok(said) => self.said(conn, said, at, now),
                         Err(fault) => self.refuse(conn, &fault, 400),
                     }
@@ -130,7 +130,7 @@
     }
 
     fn refuse(&mut self, conn: ConnId, fault: &RequestError, status: u16) {
-        self.dos.push(Do::Write { conn, bytes: viewer::refused(fault, status) });
+        self.dos.push(Do::Write { conn, bytes: viewer::error_response(fault, status) });
     }
 
     fn said(&mut self, conn: ConnId, said: ViewerMessage, at: Ms, now: Ms) {
@@ -148,7 +148,7 @@
             ViewerMessage::Teardown { id, cseq } => self.teardown(conn, id, cseq, now),
             ViewerMessage::Options { id, cseq } => {
                 let status = if self.stopping.is_some() { 503 } else { 200 };
-                self.dos.push(Do::Write { conn, bytes: viewer::heard(id, cseq, status) });
+                self.dos.push(Do::Write { conn, bytes: viewer::status_response(id, cseq, status) });
             }
             ViewerMessage::TeardownResponse { id } => {
                 if let Some(v) = self.viewers.get_mut(&conn) {
@@ -288,7 +288,7 @@
             }
             _ => 454,
         };
-        self.dos.push(Do::Write { conn, bytes: viewer::heard(Some(id), cseq, status) });
+        self.dos.push(Do::Write { conn, bytes: viewer::status_response(Some(id), cseq, status) });
     }
 
     /// No answer is owed any more: its SETUP, if one is out, is given up.
@@ -313,7 +313,7 @@
         let open = from.filter(|c| self.viewers.contains_key(c)).or(self.last_good);
         match open.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
             Some((conn, v)) => {
-                self.dos.push(Do::Write { conn, bytes: viewer::release(owed.id, owed.cause) });
+                self.dos.push(Do::Write { conn, bytes: viewer::release_request(owed.id, owed.cause) });
                 v.releases.retain(|o| owed.since - o.since < limits::RELEASE_KEPT);
                 v.releases.truncate(limits::RELEASES - 1);
                 v.releases.push_back(owed);
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -113,9 +113,10 @@
         peers: Option<UdpSocket>,
     ) -> io::Result<Self> {
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let names = Datagrams::new(&poll, names, NAMES, discovery::LONGEST)?;
+        let names = Datagrams::new(&poll, names, NAMES, discovery::MAX_ANSWER_BYTES)?;
         // A byte more than is allowed: a longer one is told from one of that length.
-        let peers = peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::LONGEST + 1)).transpose()?;
+        let peers =
+            peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::MAX_DATAGRAM_BYTES + 1)).transpose()?;
         Ok(Hub {
             most_viewers: node.most_viewers() + limits::VIEWERS_OVER,
             node,
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -55,7 +55,7 @@
 fn load(start: &Start) -> Result<configuration::Configuration, String> {
     let name = start.file.display();
     let text = std::fs::read_to_string(&start.file).map_err(|e| format!("{name}: {e}"))?;
-    configuration::read(&text).map_err(|e| format!("{name}: {e}"))
+    configuration::parse(&text).map_err(|e| format!("{name}: {e}"))
 }
 
 /// Tells the hub.
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -316,7 +316,7 @@
 /// Guards against a new process, still cold, that passes for the old one because it answered another node already.
 #[test]
 fn what_another_node_heard_proves_no_life_here() {
-    use walnutline_platform::peers::{hash, write, Entry};
+    use walnutline_platform::peers::{encode, hash_server_name, ServerStatus};
     let mut w = World::with(&with_peers());
     let (_, server) = w.standing(1);
     w.open_at_once = false;
@@ -324,9 +324,15 @@
     w.pass(limits::SAME_PROCESS * 1.5);
     w.ends(server, End::Closed);
     w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died = Some(w.now);
-    let entry = |server| Entry { server: hash(server), age: 20.0, streams: 0.5, link: 0.44, since: 0.0 };
+    let entry = |server| ServerStatus {
+        name_hash: hash_server_name(server),
+        age_ms: 20.0,
+        stream_share: 0.5,
+        link_use: 0.44,
+        known_uptime_ms: 0.0,
+    };
     w.pass(50.0);
-    w.node.peer(PEER.parse().unwrap(), &write(&[entry("s-00000001"), entry("s-00000002")]), w.now);
+    w.node.peer(PEER.parse().unwrap(), &encode(&[entry("s-00000001"), entry("s-00000002")]), w.now);
     w.run();
     let next = w.connecting.pop().expect("opened anew");
     w.node.connected(next, w.now);
@@ -336,10 +342,16 @@
 /// Guards against 300 nodes that each test a server every two seconds: ten tests for each probe on a calm day.
 #[test]
 fn a_server_that_answered_another_node_is_not_tested() {
-    use walnutline_platform::peers::{hash, write, Entry};
+    use walnutline_platform::peers::{encode, hash_server_name, ServerStatus};
     let (peer, stranger) = (PEER.parse().unwrap(), "127.0.0.4:7946".parse().unwrap());
-    let entry = |server| Entry { server: hash(server), age: 20.0, streams: 0.5, link: 0.44, since: 0.0 };
-    let told = write(&[entry("s-00000001"), entry("s-00000002"), entry("nobody")]);
+    let entry = |server| ServerStatus {
+        name_hash: hash_server_name(server),
+        age_ms: 20.0,
+        stream_share: 0.5,
+        link_use: 0.44,
+        known_uptime_ms: 0.0,
+    };
+    let told = encode(&[entry("s-00000001"), entry("s-00000002"), entry("nobody")]);
     for (from, tested) in [(peer, false), (stranger, true)] {
         let mut w = World::with(&with_peers());
         w.standing(1);
@@ -777,12 +789,12 @@
 fn a_new_configuration_names_another_name_service() {
     let mut w = World::new();
     let told = NODE.replace("127.0.0.1:1053", "127.0.0.2:1054");
-    w.node.configured(walnutline_platform::configuration::read(&told).unwrap(), w.now);
+    w.node.configured(walnutline_platform::configuration::parse(&told).unwrap(), w.now);
     w.run();
     assert_eq!(w.queries.last().unwrap().0, "127.0.0.2:1054".parse().unwrap());
     // Told again and again, it asks no more often than before.
     for _ in 0..20 {
-        w.node.configured(walnutline_platform::configuration::read(&told).unwrap(), w.now);
+        w.node.configured(walnutline_platform::configuration::parse(&told).unwrap(), w.now);
     }
     w.run();
     w.queries.clear();
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -7,7 +7,7 @@
 use support::{reply, wanted, World, NODE};
 use test_case::test_case;
 use walnutline_node::exchange::End;
-use walnutline_platform::peers::{self, Entry};
+use walnutline_platform::peers::{self, ServerStatus};
 
 const NODES: usize = 350;
 const SERVERS: usize = 400;
@@ -50,8 +50,14 @@
         w.says(server, &reply(200, id, "good\r\n"));
         assert!(w.find("good").is_some(), "{id}");
     }
-    let entry = Entry { server: peers::hash(LAST), age: 100.0, streams: 0.5, link: 0.5, since: 1_000.0 };
-    let news = peers::write(&[entry]);
+    let entry = ServerStatus {
+        name_hash: peers::hash_server_name(LAST),
+        age_ms: 100.0,
+        stream_share: 0.5,
+        link_use: 0.5,
+        known_uptime_ms: 1_000.0,
+    };
+    let news = peers::encode(&[entry]);
     let heard = |w: &World| w.node.desk.front.fleet.servers.values().filter(|s| s.link.is_some()).count();
     let before = heard(&w);
     w.node.peer("10.9.9.9:7946".parse().unwrap(), &news, w.now);
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -34,7 +34,7 @@
 
     pub fn with(document: &str) -> World {
         let now = 1_700_000_000_000.0;
-        let node = Node::new(configuration::read(document).unwrap(), now).unwrap();
+        let node = Node::new(configuration::parse(document).unwrap(), now).unwrap();
         let mut w = World {
             node,
             now,
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -91,7 +91,7 @@
 }
 
 /// Reads a configuration, or names the field that is missing or unreadable.
-pub fn read(text: &str) -> Result<Configuration, String> {
+pub fn parse(text: &str) -> Result<Configuration, String> {
     let d: Document = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let at = |path: &str| d.settings.pointer(path);
     let names = |path: &str| -> Vec<String> {
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -6,9 +6,9 @@
 //! Servers are named by a hash, as numbers differ from node to node; one that fits two names tells nothing.
 
 /// Longest datagram that the platform allows.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Servers that one has room for.
-pub const MOST: usize = (LONGEST - HEAD.len() - 1) / ENTRY;
+pub const MAX_ENTRIES: usize = (MAX_DATAGRAM_BYTES - HEAD.len() - 1) / ENTRY;
 const HEAD: [u8; 3] = [b'w', b'l', 1];
 const ENTRY: usize = 7;
 const AGE_STEP: f64 = 10.0;
@@ -17,18 +17,18 @@
 const SINCE_STEP: f64 = 100.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Entry {
-    pub server: u32,
-    pub age: f64,
+pub struct ServerStatus {
+    pub name_hash: u32,
+    pub age_ms: f64,
     /// Share of its most streams.
-    pub streams: f64,
-    pub link: f64,
+    pub stream_share: f64,
+    pub link_use: f64,
     /// For how long its process is known at least.
-    pub since: f64,
+    pub known_uptime_ms: f64,
 }
 
 /// What stands for a server's name: 24 bits of FNV-1a.
-pub fn hash(name: &str) -> u32 {
+pub fn hash_server_name(name: &str) -> u32 {
     let all = name.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
     (all >> 24 ^ all) & 0xff_ffff
 }
@@ -39,35 +39,35 @@
 }
 
 /// The datagram; entries beyond [`MOST`] are left out.
-pub fn write(entries: &[Entry]) -> Vec<u8> {
-    let entries = &entries[..entries.len().min(MOST)];
+pub fn encode(entries: &[ServerStatus]) -> Vec<u8> {
+    let entries = &entries[..entries.len().min(MAX_ENTRIES)];
     let mut bytes = Vec::with_capacity(HEAD.len() + 1 + entries.len() * ENTRY);
     bytes.extend(HEAD);
     bytes.push(entries.len() as u8);
     for e in entries {
-        bytes.extend(&e.server.to_be_bytes()[1..]);
+        bytes.extend(&e.name_hash.to_be_bytes()[1..]);
         bytes.extend([
-            step(e.age, AGE_STEP),
-            step(e.streams, STREAMS_STEP),
-            step(e.link, LINK_STEP),
-            (e.since / SINCE_STEP) as u8,
+            step(e.age_ms, AGE_STEP),
+            step(e.stream_share, STREAMS_STEP),
+            step(e.link_use, LINK_STEP),
+            (e.known_uptime_ms / SINCE_STEP) as u8,
         ]);
     }
     bytes
 }
 
 /// What a datagram tells; `None` for one that is no message of this kind, or not whole.
-pub fn read(bytes: &[u8]) -> Option<Vec<Entry>> {
+pub fn decode(bytes: &[u8]) -> Option<Vec<ServerStatus>> {
     let (count, entries) = bytes.strip_prefix(&HEAD)?.split_first()?;
-    if bytes.len() > LONGEST || entries.len() != usize::from(*count) * ENTRY {
+    if bytes.len() > MAX_DATAGRAM_BYTES || entries.len() != usize::from(*count) * ENTRY {
         return None;
     }
-    let one = |e: &[u8]| Entry {
-        server: u32::from_be_bytes([0, e[0], e[1], e[2]]),
-        age: f64::from(e[3]) * AGE_STEP,
-        streams: f64::from(e[4]) * STREAMS_STEP,
-        link: f64::from(e[5]) * LINK_STEP,
-        since: f64::from(e[6]) * SINCE_STEP,
+    let one = |e: &[u8]| ServerStatus {
+        name_hash: u32::from_be_bytes([0, e[0], e[1], e[2]]),
+        age_ms: f64::from(e[3]) * AGE_STEP,
+        stream_share: f64::from(e[4]) * STREAMS_STEP,
+        link_use: f64::from(e[5]) * LINK_STEP,
+        known_uptime_ms: f64::from(e[6]) * SINCE_STEP,
     };
     Some(entries.chunks_exact(ENTRY).map(one).collect())
 }
--- a/crates/platform/src/rtsp.rs
+++ b/crates/platform/src/rtsp.rs
@@ -133,7 +133,7 @@
 }
 
 /// A session's id: 16 lower-case hex digits, so that it is written again as it was read.
-pub fn parse_session_id(text: &str) -> Option<u64> {
+pub fn parse_hex_id(text: &str) -> Option<u64> {
     let lower = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     (text.len() == 16 && text.bytes().all(lower)).then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -41,21 +41,21 @@
     TeardownResponse {
         id: u64,
     },
-    Note {
+    Announcement {
         id: u64,
-        note: Quantity,
-        figure: f64,
+        quantity: Quantity,
+        value: f64,
     },
     /// Progress, what wants no answer, and what means nothing here.
     Ignored,
 }
 
 /// What a message of a server says; what it leaves out or tells unreadably makes it one that says nothing.
-pub fn read(message: Message) -> ServerMessage {
+pub fn parse_message(message: Message) -> ServerMessage {
     match message {
         Message::Request(r) => {
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
-            let Some(id) = text(&SESSION).and_then(rtsp::parse_session_id) else {
+            let Some(id) = text(&SESSION).and_then(rtsp::parse_hex_id) else {
                 return ServerMessage::Ignored;
             };
             match r.method() {
@@ -76,7 +76,7 @@
                         _ => return ServerMessage::Ignored,
                     };
                     match text(&header_name(headers::HEADER_FIGURE)).and_then(headers::parse_finite) {
-                        Some(figure) => ServerMessage::Note { id, note, figure },
+                        Some(figure) => ServerMessage::Announcement { id, quantity: note, value: figure },
                         None => ServerMessage::Ignored,
                     }
                 }
@@ -85,7 +85,7 @@
         }
         Message::Response(r) => {
             let text = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim());
-            let Some(id) = text(&SESSION).and_then(rtsp::parse_session_id) else {
+            let Some(id) = text(&SESSION).and_then(rtsp::parse_hex_id) else {
                 return ServerMessage::Ignored;
             };
             let status: u16 = r.status().into();
@@ -112,7 +112,7 @@
 }
 
 /// A set-up goes on; `wait`: how long its answer is waited for.
-pub fn setup(wanted: &SetupRequest, rung: u8, wait: f64) -> Vec<u8> {
+pub fn setup_request(wanted: &SetupRequest, rung: u8, wait: f64) -> Vec<u8> {
     let fields = [
         (headers::HEADER_CALL_CLASS, wanted.class.clone()),
         (headers::HEADER_RING_LIMIT, format!("{}", wait.floor().max(1.0) as u64)),
@@ -123,12 +123,12 @@
 }
 
 /// A set-up is given up.
-pub fn give_up(id: u64) -> Vec<u8> {
+pub fn setup_cancel_request(id: u64) -> Vec<u8> {
     rtsp::encode_request(Method::Teardown, "over", 2, id, &[], &[])
 }
 
 /// A session that stands is to end.
-pub fn release(id: u64, cause: u32) -> Vec<u8> {
+pub fn release_request(id: u64, cause: u32) -> Vec<u8> {
     rtsp::encode_request(
         Method::Teardown,
         "over",
@@ -140,16 +140,16 @@
 }
 
 /// Asks for the load.
-pub fn probe(id: u64) -> Vec<u8> {
+pub fn load_probe_request(id: u64) -> Vec<u8> {
     rtsp::encode_request(Method::Options, "load", 3, id, &[], &[])
 }
 
 /// Asks whether it is there.
-pub fn test(id: u64) -> Vec<u8> {
+pub fn ping_request(id: u64) -> Vec<u8> {
     rtsp::encode_request(Method::Options, "ping", 3, id, &[], &[])
 }
 
-pub fn rung(id: u64, rung: u8) -> Vec<u8> {
+pub fn rung_request(id: u64, rung: u8) -> Vec<u8> {
     rtsp::encode_request(
         Method::SetParameter,
         "rung",
@@ -161,6 +161,6 @@
 }
 
 /// A release was heard.
-pub fn heard(id: u64, cseq: Option<u32>) -> Vec<u8> {
+pub fn teardown_response(id: u64, cseq: Option<u32>) -> Vec<u8> {
     rtsp::encode_response(200, cseq, Some(id), &[], &[])
 }
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -42,11 +42,11 @@
     pub reason: String,
 }
 
-pub fn read(message: Message) -> Result<ViewerMessage, RequestError> {
+pub fn parse_message(message: Message) -> Result<ViewerMessage, RequestError> {
     let request = match message {
         Message::Request(r) => r,
         Message::Response(r) => {
-            let id = r.header(&SESSION).and_then(|v| rtsp::parse_session_id(v.as_str().trim()));
+            let id = r.header(&SESSION).and_then(|v| rtsp::parse_hex_id(v.as_str().trim()));
             return Ok(ViewerMessage::TeardownResponse { id });
         }
         Message::Data(_) => {
@@ -55,7 +55,7 @@
     };
     let text = |name: &HeaderName| request.header(name).map(|v| v.as_str().trim());
     let cseq = text(&CSEQ).and_then(|v| v.parse().ok());
-    let id = text(&SESSION).and_then(rtsp::parse_session_id);
+    let id = text(&SESSION).and_then(rtsp::parse_hex_id);
     let fault = |why: String| RequestError { id, cseq, reason: why };
     match request.method() {
         Method::Setup => wanted(&request).map(ViewerMessage::Setup).map_err(fault),
@@ -72,8 +72,7 @@
     let text = |name: HeaderName| r.header(&name).map(|v| v.as_str().trim());
     let need = |name: &'static str| text(header_name(name)).ok_or_else(|| format!("{name}: missing"));
     let uri = r.request_uri().ok_or("no address")?;
-    let title =
-        uri.as_str().strip_prefix("rtsp://media/").and_then(rtsp::parse_session_id).ok_or("no title")?;
+    let title = uri.as_str().strip_prefix("rtsp://media/").and_then(rtsp::parse_hex_id).ok_or("no title")?;
     if text(header_name(headers::HEADER_EXPECTED_MS))
         .is_some_and(|h| headers::parse_finite(h).is_none_or(|h| h < 0.0))
     {
@@ -81,7 +80,7 @@
     }
     let wait = need(headers::HEADER_RING_LIMIT)?;
     Ok(SetupRequest {
-        id: text(SESSION).and_then(rtsp::parse_session_id).ok_or("Session: missing or no id")?,
+        id: text(SESSION).and_then(rtsp::parse_hex_id).ok_or("Session: missing or no id")?,
         title,
         class: need(headers::HEADER_CALL_CLASS)?.to_owned(),
         wait_limit_ms: headers::parse_wait_ms(wait)
@@ -92,32 +91,32 @@
 }
 
 /// The session stands.
-pub fn plays(id: u64, description: &[u8]) -> Vec<u8> {
+pub fn setup_response(id: u64, description: &[u8]) -> Vec<u8> {
     rtsp::encode_response(200, Some(1), Some(id), &[], description)
 }
 
 /// Refused: trying again is harmless.
-pub fn busy(id: u64, come_back: Option<f64>) -> Vec<u8> {
+pub fn busy_response(id: u64, come_back: Option<f64>) -> Vec<u8> {
     let hold_off = come_back.map(|t| (headers::HEADER_HOLD_OFF, format!("{}", t.round().max(0.0) as u64)));
     rtsp::encode_response(503, Some(1), Some(id), hold_off.as_slice(), &[])
 }
 
-pub fn torn_down(id: u64) -> Vec<u8> {
+pub fn setup_failed_response(id: u64) -> Vec<u8> {
     rtsp::encode_response(500, Some(1), Some(id), &[], &[])
 }
 
 /// What can't be taken.
-pub fn refused(fault: &RequestError, status: u16) -> Vec<u8> {
+pub fn error_response(fault: &RequestError, status: u16) -> Vec<u8> {
     rtsp::encode_response(status, fault.cseq, fault.id, &[], &[])
 }
 
 /// The answer to a test, or to a release.
-pub fn heard(id: Option<u64>, cseq: Option<u32>, status: u16) -> Vec<u8> {
+pub fn status_response(id: Option<u64>, cseq: Option<u32>, status: u16) -> Vec<u8> {
     rtsp::encode_response(status, cseq, id, &[], &[])
 }
 
 /// A session that stood is over.
-pub fn release(id: u64, cause: u32) -> Vec<u8> {
+pub fn release_request(id: u64, cause: u32) -> Vec<u8> {
     rtsp::encode_request(
         Method::Teardown,
         "over",
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -4,7 +4,7 @@
 use simple_dns::{Name, Packet, PacketFlag, Question, ResourceRecord, CLASS, QCLASS, QTYPE, RCODE, TYPE};
 use test_case::test_case;
 use walnutline::terms::Terms;
-use walnutline_platform::discovery::{self, Bad as BadNames};
+use walnutline_platform::discovery::{self, AnswerError as BadNames};
 use walnutline_platform::rtsp::{FramingError, MessageReader, MAX_MESSAGE_BYTES};
 use walnutline_platform::server::{self, ServerMessage};
 use walnutline_platform::viewer::{self, ViewerMessage};
@@ -24,7 +24,7 @@
     for piece in bytes.chunks(piece) {
         reader.push(piece);
         while let Some(m) = reader.next_message().map_err(|b| b.to_string())? {
-            said.push(viewer::read(m).map_err(|f| f.reason)?);
+            said.push(viewer::parse_message(m).map_err(|f| f.reason)?);
         }
     }
     Ok(said)
@@ -50,7 +50,7 @@
     #[test]
     fn rubbish_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), piece in 1usize..90) {
         let _ = all(&bytes, piece);
-        let _ = discovery::read(&bytes, 7);
+        let _ = discovery::parse_answer(&bytes, 7);
     }
 
     /// A good message with a byte changed is read or refused.
@@ -71,7 +71,7 @@
         let text = text.replace("7f3a9c21e0b4d655", &format!("{title:016x}"));
         let said = all(text.as_bytes(), piece).unwrap();
         let [ViewerMessage::Setup(wanted)] = &said[..] else { panic!("{said:?}") };
-        let on = server::setup(wanted, rung, 152.9);
+        let on = server::setup_request(wanted, rung, 152.9);
         let on = String::from_utf8(on).unwrap();
         let (head, rest) = on.split_once("\r\n\r\n").unwrap();
         prop_assert_eq!(rest, &body);
@@ -86,8 +86,8 @@
     #[test]
     fn a_description_is_passed_on(body in prop::collection::vec(any::<u8>(), 0..300), id in any::<u64>()) {
         let mut reader = MessageReader::default();
-        reader.push(&viewer::plays(id, &body));
-        let said = server::read(reader.next_message().unwrap().unwrap());
+        reader.push(&viewer::setup_response(id, &body));
+        let said = server::parse_message(reader.next_message().unwrap().unwrap());
         prop_assert_eq!(said, ServerMessage::SetupResponse { id, status: 200, description: body, report: vec![] });
     }
 }
@@ -143,14 +143,14 @@
     let name = |n: &'static str| Name::new_unchecked(n);
     let record = |n: &'static str, data| ResourceRecord::new(name(n), CLASS::IN, 0, data);
     p.questions.push(Question::new(
-        name(discovery::LIST),
+        name(discovery::SERVER_LIST_NAME),
         QTYPE::TYPE(TYPE::SRV),
         QCLASS::CLASS(CLASS::IN),
         false,
     ));
     let target = "s-00c41f7a.east.hosts";
     let srv = SRV { priority: 1, weight: 45, port: 5060, target: name(target) };
-    p.answers.push(record(discovery::LIST, RData::SRV(srv)));
+    p.answers.push(record(discovery::SERVER_LIST_NAME, RData::SRV(srv)));
     let soa =
         SOA { mname: name("a"), rname: name("b"), serial: 41, refresh: 0, retry: 0, expire: 0, minimum: 0 };
     p.name_servers.push(record("farm.lan", RData::SOA(soa)));
@@ -163,20 +163,20 @@
 }
 
 #[test_case(|_| {} => Ok((41, 1)); "good")]
-#[test_case(|p| p.set_id(8) => Err(BadNames::Other); "another id")]
+#[test_case(|p| p.set_id(8) => Err(BadNames::Mismatch); "another id")]
 #[test_case(|p| *p.rcode_mut() = RCODE::ServerFailure => Err(BadNames::Failed); "a failure")]
 #[test_case(|p| p.set_flags(PacketFlag::TRUNCATION) => Err(BadNames::Failed); "cut short and said so")]
-#[test_case(|p| p.questions[0].qname = Name::new_unchecked("other.lan") => Err(BadNames::Other); "another question")]
+#[test_case(|p| p.questions[0].qname = Name::new_unchecked("other.lan") => Err(BadNames::Mismatch); "another question")]
 #[test_case(|p| p.name_servers.clear() => Err(BadNames::Incomplete); "no number")]
 #[test_case(|p| p.additional_records.clear() => Err(BadNames::Incomplete); "no address")]
 fn answers_of_the_name_service(change: fn(&mut Packet<'static>)) -> Result<(u32, usize), BadNames> {
-    discovery::read(&answer(7, change), 7).map(|a| (a.serial, a.servers.len()))
+    discovery::parse_answer(&answer(7, change), 7).map(|a| (a.serial, a.servers.len()))
 }
 
 #[test]
 fn a_server_of_the_list_is_read_whole_and_a_cut_answer_is_not() {
     let bytes = answer(7, |_| {});
-    let server = discovery::read(&bytes, 7).unwrap().servers.remove(0);
+    let server = discovery::parse_answer(&bytes, 7).unwrap().servers.remove(0);
     assert_eq!(
         (server.name.as_str(), server.zone.as_str(), server.kind.as_str()),
         ("s-00c41f7a", "east", "std")
@@ -184,14 +184,14 @@
     assert_eq!((server.address, server.cell), ("10.1.0.9:5060".parse().unwrap(), 2));
     assert_eq!((server.draining, server.weight, server.started_unix_ms), (true, 4.5, Some(1.7e12)));
     for n in 0..bytes.len() {
-        assert!(discovery::read(&bytes[..n], 7).is_err(), "cut at {n}");
+        assert!(discovery::parse_answer(&bytes[..n], 7).is_err(), "cut at {n}");
     }
 }
 
 /// The settings of the document give the same terms as the lines that the simulator tells.
 #[test]
 fn settings_are_the_simulators_terms() {
-    let told = configuration::read(NODE).unwrap();
+    let told = configuration::parse(NODE).unwrap();
     let lines = "balancers=2\nclasses.count=2\nclasses.0.aim=800.0\nclasses.0.group=all\n\
         classes.0.name=board-loop\nclasses.0.repeat=repeatable\nclasses.0.window=5000.0\nclasses.0.worth=1.0\n\
         classes.1.aim=1000.0\nclasses.1.group=all\nclasses.1.repeat=repeatable\nclasses.1.window=5000.0\n\
@@ -222,26 +222,28 @@
 
 #[test]
 fn what_nodes_tell_each_other_comes_back_as_it_was_told() {
-    use walnutline_platform::peers::{hash, read, write, Entry, LONGEST, MOST};
-    let one = |n: usize| Entry {
-        server: hash(&format!("s-{n:08x}")),
-        age: 10.0 * n as f64,
-        streams: 0.5,
-        link: 0.01 * n as f64,
-        since: 100.0 * n as f64,
+    use walnutline_platform::peers::{
+        decode, encode, hash_server_name, ServerStatus, MAX_DATAGRAM_BYTES, MAX_ENTRIES,
     };
-    let all: Vec<Entry> = (0..MOST + 5).map(one).collect();
-    let bytes = write(&all);
-    assert!(bytes.len() <= LONGEST && MOST >= walnutline::interface::NEWS_A_MESSAGE);
-    assert_eq!(read(&bytes).unwrap(), all[..MOST]);
+    let one = |n: usize| ServerStatus {
+        name_hash: hash_server_name(&format!("s-{n:08x}")),
+        age_ms: 10.0 * n as f64,
+        stream_share: 0.5,
+        link_use: 0.01 * n as f64,
+        known_uptime_ms: 100.0 * n as f64,
+    };
+    let all: Vec<ServerStatus> = (0..MAX_ENTRIES + 5).map(one).collect();
+    let bytes = encode(&all);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES && MAX_ENTRIES >= walnutline::interface::NEWS_A_MESSAGE);
+    assert_eq!(decode(&bytes).unwrap(), all[..MAX_ENTRIES]);
     // Cut short, with bytes to spare, of another version: nothing is told.
-    assert!((0..bytes.len()).all(|n| read(&bytes[..n]).is_none()));
-    assert_eq!(read(&[bytes.as_slice(), &[0]].concat()), None);
-    assert_eq!(read(&[b"wl\x02", &bytes[3..]].concat()), None);
-    let far = Entry { age: 1e9, streams: f64::INFINITY, link: f64::NAN, ..one(1) };
+    assert!((0..bytes.len()).all(|n| decode(&bytes[..n]).is_none()));
+    assert_eq!(decode(&[bytes.as_slice(), &[0]].concat()), None);
+    assert_eq!(decode(&[b"wl\x02", &bytes[3..]].concat()), None);
+    let far = ServerStatus { age_ms: 1e9, stream_share: f64::INFINITY, link_use: f64::NAN, ..one(1) };
     assert_eq!(
-        read(&write(&[far])).unwrap()[0],
-        Entry { age: 2_550.0, streams: 255.0 / 128.0, link: 0.0, ..far }
+        decode(&encode(&[far])).unwrap()[0],
+        ServerStatus { age_ms: 2_550.0, stream_share: 255.0 / 128.0, link_use: 0.0, ..far }
     );
 }
 
@@ -249,7 +251,7 @@
 #[test_case("\"places\":12,", "" => "settings/family_info/places: missing or no number"; "places")]
 #[test_case("\"Gone\"", "\"Lost\"" => "known: s-00000003: lifecycle \"Lost\" is not known"; "lifecycle")]
 fn faults_of_a_configuration_name_their_field(from: &str, to: &str) -> String {
-    configuration::read(&NODE.replace(from, to)).unwrap_err()
+    configuration::parse(&NODE.replace(from, to)).unwrap_err()
 }
 
 /// Names are labels' own bytes: what would part them in print, or a letter's case on the way, changes
@@ -263,7 +265,7 @@
     let record = |n: &str, data| ResourceRecord::new(name(n), CLASS::IN, 0, data);
     let mut p = Packet::new_reply(7);
     p.answers.push(record(
-        discovery::LIST,
+        discovery::SERVER_LIST_NAME,
         RData::SRV(SRV { priority: 0, weight: 30, port: 9, target: name(&target) }),
     ));
     let txt =
@@ -274,7 +276,7 @@
     let soa =
         SOA { mname: name("a"), rname: name("b"), serial: 3, refresh: 0, retry: 0, expire: 0, minimum: 0 };
     p.name_servers.push(record("farm.lan", RData::SOA(soa)));
-    let told = discovery::read(&p.build_bytes_vec_compressed().unwrap(), 7).unwrap();
+    let told = discovery::parse_answer(&p.build_bytes_vec_compressed().unwrap(), 7).unwrap();
     assert_eq!((told.servers[0].name.as_str(), told.servers[0].zone.as_str()), ("s-1", zone));
 }
 
@@ -287,7 +289,7 @@
 #[test_case("\"weight\":3,", "\"weight\":4," => Vec::<String>::new(); "the list")]
 fn what_a_new_document_changes_is_told_by_path(from: &str, to: &str) -> Vec<String> {
     let (old, new) =
-        (configuration::read(NODE).unwrap(), configuration::read(&NODE.replace(from, to)).unwrap());
+        (configuration::parse(NODE).unwrap(), configuration::parse(&NODE.replace(from, to)).unwrap());
     assert!(NODE.contains(from));
     old.changes_requiring_restart(&new)
 }
@@ -295,7 +297,7 @@
 /// Names that the lines of the settings fold into one are still two.
 #[test]
 fn names_that_differ_in_a_comma_are_two() {
-    let named = |name: &str| configuration::read(&NODE.replace("council-notice", name)).unwrap();
+    let named = |name: &str| configuration::parse(&NODE.replace("council-notice", name)).unwrap();
     let (comma, space) = (named("board,loop"), named("board loop"));
     assert_eq!((&comma.classes[1], &space.classes[1]), (&"board,loop".into(), &"board loop".into()));
     assert_eq!(comma.changes_requiring_restart(&space), ["settings: names"]);
--- a/crates/platform/tests/support/dns.rs
+++ b/crates/platform/tests/support/dns.rs
@@ -11,7 +11,7 @@
         let srv = SRV { priority: 0, weight: 30, port: *port, target: name(target) };
         let txt = ["kind=box-3c", "cell=0", started];
         let txt = txt.into_iter().fold(TXT::new(), |t, s| t.with_string(s).unwrap());
-        p.answers.push(record(walnutline_platform::discovery::LIST, RData::SRV(srv)));
+        p.answers.push(record(walnutline_platform::discovery::SERVER_LIST_NAME, RData::SRV(srv)));
         p.additional_records.push(record(target, RData::A(A { address: u32::from_be_bytes(*ip) })));
         p.additional_records.push(record(target, RData::TXT(txt)));
     }
