--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -10,7 +10,7 @@
 use walnutline::ids::{CellId, KindIndex, Ms, ServerId, SessionId, ZoneIndex};
 use walnutline_desk::retry::Retry;
 use walnutline_platform::configuration::Configuration;
-use walnutline_platform::{names, ServerLine};
+use walnutline_platform::{discovery, ServerRecord};
 
 pub(super) struct Names {
     address: SocketAddr,
@@ -54,7 +54,7 @@
             self.names.asked.pop_front();
         }
         self.names.asked.push_back(id);
-        self.dos.push(Do::Query { to: self.names.address, bytes: names::query(id) });
+        self.dos.push(Do::Query { to: self.names.address, bytes: discovery::encode_query(id) });
     }
 
     /// A datagram that came from there. What is not a good answer to one of the last questions, or is older than
@@ -65,7 +65,7 @@
         }
         let id = u16::from_be_bytes([bytes[0], bytes[1]]);
         let Some(at) = self.names.asked.iter().position(|a| *a == id) else { return };
-        let Ok(answer) = names::read(bytes, id) else { return };
+        let Ok(answer) = discovery::parse_answer(bytes, id) else { return };
         self.names.asked.remove(at);
         if self.names.is_newer(answer.serial, now) {
             self.names.serial = answer.serial;
@@ -78,7 +78,7 @@
     /// than that is left alone as a whole: what stands in the settings by position holds for the sessions in
     /// hand.
     pub fn configured(&mut self, told: Configuration, now: Ms) {
-        let differs = self.told.differs(&told);
+        let differs = self.told.changes_requiring_restart(&told);
         if !differs.is_empty() {
             let (first, more) = (&differs[..differs.len().min(limits::PATHS_TOLD)], differs.len());
             return self.dos.push(Do::Log(format!(
@@ -86,11 +86,11 @@
                 first.join(" ")
             )));
         }
-        self.names.address = told.names;
+        self.names.address = told.name_service;
         self.names.asked.clear();
         self.names.lower = None;
-        if told.last > self.names.serial {
-            self.names.serial = told.last;
+        if told.server_list_serial > self.names.serial {
+            self.names.serial = told.server_list_serial;
             self.listed(told.servers, now);
         }
         // The questions at intervals go on by themselves.
@@ -99,7 +99,7 @@
     }
 
     /// The whole list.
-    pub(super) fn listed(&mut self, lines: Vec<ServerLine>, now: Ms) {
+    pub(super) fn listed(&mut self, lines: Vec<ServerRecord>, now: Ms) {
         let mut there = BTreeSet::new();
         let mut listed = Vec::new();
         for n in self.zones_told..self.told.zones.len() {
@@ -122,7 +122,7 @@
                 cell: CellId(line.cell),
                 state: if line.draining { ServerState::Draining } else { ServerState::Ready },
                 weight: line.weight,
-                started_at: line.started,
+                started_at: line.started_unix_ms,
             });
         }
         let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
@@ -163,17 +163,17 @@
 
     /// The server of a line of the list, as it is told now. An id is not an address: another process, or another
     /// address under the same id, shares nothing with what was known.
-    fn server_id(&mut self, line: &ServerLine, now: Ms) -> ServerId {
+    fn server_id(&mut self, line: &ServerRecord, now: Ms) -> ServerId {
         let listing = if line.draining { ServerState::Draining } else { ServerState::Ready };
         if let Some(id) = self.by_name.get(&line.name).copied() {
             let Some(s) = self.servers.get_mut(&id) else { return id };
             s.listing = listing;
-            if s.address != line.address || s.started != line.started {
+            if s.address != line.address || s.started != line.started_unix_ms {
                 // A new process at the old address is often met before the list tells of it, seconds late: what was
                 // opened and set up there since its start is its own.
-                let since = if s.address == line.address { line.started } else { None };
+                let since = if s.address == line.address { line.started_unix_ms } else { None };
                 let since = since.unwrap_or(Ms::INFINITY);
-                (s.address, s.started) = (line.address, line.started);
+                (s.address, s.started) = (line.address, line.started_unix_ms);
                 let lines = s.lines.iter().copied();
                 let old = lines.filter(|c| self.lines.get(c).is_none_or(|l| l.opened < since));
                 let old: Vec<ConnId> = old.collect();
@@ -189,7 +189,7 @@
             name: line.name.clone(),
             address: line.address,
             listing,
-            started: line.started,
+            started: line.started_unix_ms,
             lines: Vec::new(),
             standing: BTreeSet::new(),
             unsent: BTreeMap::new(),
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -5,47 +5,47 @@
 use walnutline::api::PeerReport;
 use walnutline::fleet::ServerState;
 use walnutline::ids::{Ms, ServerId};
-use walnutline_platform::peers::{self, Entry};
+use walnutline_platform::peers::{self, ServerStatus};
 
 impl Node {
     pub(super) fn tell(&mut self, news: &[PeerReport], now: Ms) {
-        let Some(to) = self.told.peers_all else { return };
+        let Some(to) = self.told.peer_broadcast_address else { return };
         let entry = |n: &PeerReport| {
             let s = self.servers.get(&n.server)?;
             let since = (now - s.process).max(0.0);
-            Some(Entry {
-                server: peers::hash(&s.name),
-                age: n.age,
-                streams: n.stream_use,
-                link: n.link_use,
-                since,
+            Some(ServerStatus {
+                name_hash: peers::hash_server_name(&s.name),
+                age_ms: n.age,
+                stream_share: n.stream_use,
+                link_use: n.link_use,
+                known_uptime_ms: since,
             })
         };
-        let entries: Vec<Entry> = news.iter().filter_map(entry).collect();
-        self.dos.push(Do::Tell { to, bytes: peers::write(&entries) });
+        let entries: Vec<ServerStatus> = news.iter().filter_map(entry).collect();
+        self.dos.push(Do::Tell { to, bytes: peers::encode(&entries) });
     }
 
     /// A datagram on the address for other front nodes. What does not come from one of them, can't be read or tells of
     /// servers that are not listed is passed over.
     pub fn peer(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
-        if !self.told.peers.contains(&from) {
+        if !self.told.peer_addresses.contains(&from) {
             return;
         }
-        let Some(entries) = peers::read(bytes) else { return };
+        let Some(entries) = peers::decode(bytes) else { return };
         let mut by_hash: Vec<(u32, ServerId)> = Vec::with_capacity(self.servers.len());
         let there = self.servers.iter().filter(|(_, s)| s.listing != ServerState::Gone);
-        by_hash.extend(there.map(|(id, s)| (peers::hash(&s.name), *id)));
+        by_hash.extend(there.map(|(id, s)| (peers::hash_server_name(&s.name), *id)));
         by_hash.sort_unstable();
-        let news = |e: &Entry| {
-            let first = by_hash.partition_point(|(hash, _)| *hash < e.server);
+        let news = |e: &ServerStatus| {
+            let first = by_hash.partition_point(|(hash, _)| *hash < e.name_hash);
             let (hash, server) = *by_hash.get(first)?;
-            let two = by_hash.get(first + 1).is_some_and(|(next, _)| *next == e.server);
-            (hash == e.server && !two).then_some(PeerReport {
+            let two = by_hash.get(first + 1).is_some_and(|(next, _)| *next == e.name_hash);
+            (hash == e.name_hash && !two).then_some(PeerReport {
                 server,
-                stream_use: e.streams,
-                link_use: e.link,
-                age: e.age,
-                process_age: e.since,
+                stream_use: e.stream_share,
+                link_use: e.link_use,
+                age: e.age_ms,
+                process_age: e.known_uptime_ms,
             })
         };
         let news: Vec<PeerReport> = entries.iter().filter_map(news).collect();
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -8,8 +8,8 @@
 use walnutline::fleet::ServerState;
 use walnutline::ids::{Ms, ServerId, SessionId};
 use walnutline_desk::retry::Retry;
-use walnutline_platform::fields;
-use walnutline_platform::frame::Reader;
+use walnutline_platform::headers;
+use walnutline_platform::rtsp::MessageReader;
 use walnutline_platform::server;
 
 pub(super) struct Server {
@@ -57,7 +57,7 @@
 pub(super) struct Line {
     pub server: ServerId,
     pub up: bool,
-    pub reader: Reader,
+    pub reader: MessageReader,
     pub partial: Option<Ms>,
     /// SETUPs that are out on it, or wait for it to open.
     pub out: BTreeSet<SessionId>,
@@ -111,7 +111,7 @@
         let line = Line {
             server,
             up: false,
-            reader: Reader::default(),
+            reader: MessageReader::default(),
             partial: None,
             out: BTreeSet::new(),
             tests: BTreeMap::new(),
@@ -122,7 +122,7 @@
             used: now,
         };
         self.lines.insert(conn, line);
-        self.timers.set(now + self.told.connect_within, Due::Connecting { conn });
+        self.timers.set(now + self.told.connect_timeout_ms, Due::Connecting { conn });
         self.dos.push(Do::Connect { conn, address });
         Some(conn)
     }
@@ -243,8 +243,7 @@
             (false, _) => SetupOutcome::NoConnection,
         };
         for id in line.out {
-            let written = matches!(self.sess.get(&id).map(|s| &s.stage),
-                Some(Stage::Asked { out: Some(out), .. }) if out.written);
+            let written = matches!(self.sess.get(&id).map(|s| &s.stage), Some(Stage::Asked { out: Some(out), .. }) if out.written);
             self.setup_ended(id, if line.up && !written { SetupOutcome::NeverSent } else { ending }, now);
         }
         let probes = line.tests.values().filter(|t| **t == Test::Probe).count() as u32 + line.probes;
@@ -272,7 +271,9 @@
         if !standing.is_empty() {
             self.dos.push(Do::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
         }
-        standing.into_iter().for_each(|id| self.over(id, SetupOutcome::Broken, Some(fields::CUT), now));
+        standing.into_iter().for_each(|id| {
+            self.over(id, SetupOutcome::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now)
+        });
     }
 
     // ---- what goes out ----
@@ -342,7 +343,7 @@
         }
         out.written = true;
         self.lines.get_mut(&out.line).into_iter().for_each(|line| line.used = now);
-        Some(server::setup(wanted, rung, sess.until - now))
+        Some(server::setup_request(wanted, rung, sess.until - now))
     }
 
     /// The connection of a SETUP takes nothing now: it never left, and another server may be asked.
@@ -380,7 +381,7 @@
         line.out.remove(&id);
         if out.written {
             line.is_over(id);
-            self.dos.push(Do::Write { conn: out.line, bytes: server::give_up(id.0) });
+            self.dos.push(Do::Write { conn: out.line, bytes: server::setup_cancel_request(id.0) });
         }
     }
 
@@ -399,8 +400,8 @@
 
     pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessionId, what: Unsent, now: Ms) {
         let bytes = match what {
-            Unsent::Rung(rung) => server::rung(id.0, rung),
-            Unsent::Release => server::release(id.0, fields::WITHDRAWN),
+            Unsent::Rung(rung) => server::rung_request(id.0, rung),
+            Unsent::Release => server::release_request(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
         };
         if let (Unsent::Release, Some(line)) = (what, self.lines.get_mut(&conn)) {
             line.releases.retain(|(at, _)| now - at < limits::RELEASE_KEPT);
@@ -436,8 +437,8 @@
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.tests.insert(id, what);
         let (wait, bytes) = match what {
-            Test::Probe => (self.told.probe_within, server::probe(id)),
-            Test::There => (limits::TEST_WAIT, server::test(id)),
+            Test::Probe => (self.told.probe_timeout_ms, server::load_probe_request(id)),
+            Test::There => (limits::TEST_WAIT, server::ping_request(id)),
         };
         self.timers.set(now + wait, Due::Test { conn, id });
         self.dos.push(Do::Write { conn, bytes });
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -13,7 +13,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use walnutline::ids::{Ms, SessionId};
-use walnutline_platform::{names, peers};
+use walnutline_platform::{discovery, peers};
 
 /// How soon bytes that a socket did not take, or a SETUP that is held back, are tried again, in milliseconds.
 const AGAIN: Ms = 10.0;
@@ -113,9 +113,10 @@
         peers: Option<UdpSocket>,
     ) -> io::Result<Self> {
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let names = Datagrams::new(&poll, names, NAMES, names::LONGEST)?;
+        let names = Datagrams::new(&poll, names, NAMES, discovery::MAX_ANSWER_BYTES)?;
         // A byte more than is allowed: a longer one is told from one of that length.
-        let peers = peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::LONGEST + 1)).transpose()?;
+        let peers =
+            peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::MAX_DATAGRAM_BYTES + 1)).transpose()?;
         Ok(Hub {
             most_viewers: node.most_viewers() + limits::VIEWERS_OVER,
             node,
@@ -151,7 +152,7 @@
             for news in signals.try_iter() {
                 match news {
                     News::Configured(told) => {
-                        tracing::info!(target: "walnutline::mode", names = %told.names, "configuration read anew");
+                        tracing::info!(target: "walnutline::mode", names = %told.name_service, "configuration read anew");
                         self.node.configured(*told, self.woke);
                     }
                     News::Stop { at } => self.node.stop(at),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,22 +1,22 @@
 //! Codecs of the operators' platform, without input or output.
 //!
-//! - [`frame`]: cuts a stream of bytes into RTSP messages, within bounds.
+//! - [`rtsp`]: cuts a stream of bytes into RTSP messages, within bounds.
 //! - [`viewer`], [`server`]: what the messages of each side mean, and the bytes of those sent to it.
-//! - [`fields`]: the fields of the platform's own.
-//! - [`names`]: queries to the name service and its answers.
+//! - [`headers`]: the fields of the platform's own.
+//! - [`discovery`]: queries to the name service and its answers.
 //! - [`peers`]: what front nodes tell each other.
 //! - [`configuration`]: the document a node is started with.
 pub mod configuration;
-pub mod fields;
-pub mod frame;
-pub mod names;
+pub mod discovery;
+pub mod headers;
 pub mod peers;
+pub mod rtsp;
 pub mod server;
 pub mod viewer;
 
 /// One server as the configuration or the name service tells it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerLine {
+pub struct ServerRecord {
     /// Its id.
     pub name: String,
     pub address: std::net::SocketAddr,
@@ -26,5 +26,5 @@
     pub draining: bool,
     pub weight: f64,
     /// Start of the process in Unix milliseconds, where it was not long ago.
-    pub started: Option<f64>,
+    pub started_unix_ms: Option<f64>,
 }
