--- a/crates/platform/src/headers.rs
+++ b/crates/platform/src/headers.rs
@@ -1,82 +1,104 @@
-//! The platform's own fields in messages.
+//! Header fields that the platform adds to RTSP, with the parsers of their values.
 
+/// Class of the request, one of the names in the node's configuration.
 pub const HEADER_CALL_CLASS: &str = "X-Call-Class";
+/// Time in milliseconds for which the sender waits for the response to a SETUP.
 pub const HEADER_RING_LIMIT: &str = "X-Ring-Limit";
+/// Time in milliseconds that a viewer expects; validated and otherwise unused.
 pub const HEADER_EXPECTED_MS: &str = "Expected-Ms";
+/// Where a session may be placed; see [`Destination`].
 pub const HEADER_DEST: &str = "X-Dest";
+/// Time in milliseconds after which a refused viewer should retry.
 pub const HEADER_HOLD_OFF: &str = "X-Hold-Off";
+/// Rung of a session.
 pub const HEADER_RATE_STEP: &str = "Rate-Step";
+/// Quantity that an ANNOUNCE reports; see [`Quantity`](crate::server::Quantity).
 pub const HEADER_WHY: &str = "X-Why";
+/// Value of the quantity that an ANNOUNCE reports.
 pub const HEADER_FIGURE: &str = "Figure";
+/// Load report of a server; see [`parse_load_report`].
 pub const HEADER_CIRCUITS: &str = "X-Circuits";
+/// Cause of a release; see [`parse_release_cause`].
 pub const HEADER_REASON: &str = "Reason";
 
-/// Causes that a release tells.
+/// Release cause: the session ended normally.
 pub const RELEASE_CAUSE_ENDED: u32 = 16;
+/// Release cause: the viewer ended the session.
 pub const RELEASE_CAUSE_WITHDRAWN: u32 = 31;
+/// Release cause: the session was interrupted by a failure.
 pub const RELEASE_CAUSE_INTERRUPTED: u32 = 41;
 
-/// Longest wait that is read, in milliseconds. Sessions that are handed over tell one of 71 minutes, which means
-/// nothing; what a viewer may mean is for the node to judge.
-const LONGEST_WAIT: f64 = u32::MAX as f64;
+/// Longest wait that the parser accepts. A SETUP that hands a session over to this node carries a wait of 71 minutes,
+/// which has no meaning; the node checks the waits of viewers against its own limit.
+const MAX_WAIT_MS: f64 = u32::MAX as f64;
 
-/// Where a session may go, and its viewer's figures: `home:4;copies:3;top:4;viewer:00000000b4d65521`.
+/// Value of the `X-Dest` header: the cells whose servers hold the title, and the rungs that the viewer can play.
+///
+/// Example: `home:4;copies:3;top:4;viewer:00000000b4d65521`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Destination {
+    /// First cell that holds the title.
     pub home_cell: u32,
+    /// Number of cells that hold the title.
     pub copies: u32,
+    /// Highest rung that the session may use.
     pub top_rung: u8,
-    /// The server that the session plays at already.
+    /// Server that already plays the session, set when the session is handed over to this node.
     pub current_server: Option<String>,
 }
 
-/// Reads `X-Dest`. Names that are not known are passed over; their figures are nobody's here.
+/// Parses the value of `X-Dest`. Parameters with other names are ignored, as the node does not use them.
 pub fn parse_destination(text: &str) -> Result<Destination, String> {
-    let (mut home, mut copies, mut top, mut at) = (None, None, None, None);
-    for part in text.split(';').map(str::trim).filter(|p| !p.is_empty()) {
+    let (mut home_cell, mut copies, mut top_rung, mut current_server) = (None, None, None, None);
+    for parameter in text.split(';').map(str::trim).filter(|p| !p.is_empty()) {
         let (name, value) =
-            part.split_once(':').ok_or_else(|| format!("{HEADER_DEST}: {part:?} has no figure"))?;
+            parameter.split_once(':').ok_or_else(|| format!("{HEADER_DEST}: {parameter:?} has no value"))?;
         let number =
             || value.parse::<u32>().map_err(|_| format!("{HEADER_DEST}: {name}: not a number in range"));
         match name {
-            "home" => home = Some(number()?),
+            "home" => home_cell = Some(number()?),
             "copies" => copies = Some(number()?),
             "top" => {
-                top = Some(u8::try_from(number()?).map_err(|_| format!("{HEADER_DEST}: top: out of range"))?)
+                top_rung =
+                    Some(u8::try_from(number()?).map_err(|_| format!("{HEADER_DEST}: top: out of range"))?)
             }
             "viewer" => {
-                u64::from_str_radix(value, 16).map_err(|_| format!("{HEADER_DEST}: viewer: not an id"))?;
+                u64::from_str_radix(value, 16)
+                    .map_err(|_| format!("{HEADER_DEST}: viewer: not a hexadecimal id"))?;
             }
-            "at" => at = Some(value.to_owned()),
+            "at" => current_server = Some(value.to_owned()),
             _ => {}
         }
     }
-    let need = |name: &str| format!("{HEADER_DEST}: {name}: missing");
+    let missing = |name: &str| format!("{HEADER_DEST}: {name}: missing");
     Ok(Destination {
-        home_cell: home.ok_or_else(|| need("home"))?,
-        copies: copies.ok_or_else(|| need("copies"))?,
-        top_rung: top.ok_or_else(|| need("top"))?,
-        current_server: at,
+        home_cell: home_cell.ok_or_else(|| missing("home"))?,
+        copies: copies.ok_or_else(|| missing("copies"))?,
+        top_rung: top_rung.ok_or_else(|| missing("top"))?,
+        current_server,
     })
 }
 
-/// A time in milliseconds, above zero.
+/// Parses a positive time in milliseconds.
 pub fn parse_wait_ms(text: &str) -> Option<f64> {
-    text.trim().parse().ok().filter(|t: &f64| t.is_finite() && *t > 0.0 && *t <= LONGEST_WAIT)
+    text.trim().parse().ok().filter(|t: &f64| t.is_finite() && *t > 0.0 && *t <= MAX_WAIT_MS)
 }
 
-/// A figure that is one.
+/// Parses a number; rejects infinities and NaN.
 pub fn parse_finite(text: &str) -> Option<f64> {
     text.trim().parse().ok().filter(|t: &f64| t.is_finite())
 }
 
-/// A report: `x0:12;x1:40;queue:3`. What is no figure is left out.
+/// Parses a load report such as `x0:12;x1:40;queue:3` into names and values. Entries without a finite value are
+/// left out.
 pub fn parse_load_report(text: &str) -> Vec<(String, f64)> {
-    let parts = text.split(';').filter_map(|p| p.trim().split_once(':'));
-    parts.filter_map(|(name, v)| Some((name.trim().to_owned(), parse_finite(v)?))).collect()
+    let entries = text.split(';').filter_map(|entry| entry.trim().split_once(':'));
+    entries.filter_map(|(name, value)| Some((name.trim().to_owned(), parse_finite(value)?))).collect()
 }
 
-/// `Reason: cause=16`.
+/// Parses the cause in the value of a `Reason` header such as `cause=16`.
 pub fn parse_release_cause(text: &str) -> Option<u32> {
-    text.split(';').find_map(|p| p.trim().strip_prefix("cause=")).and_then(|n| n.trim().parse().ok())
+    text.split(';')
+        .find_map(|parameter| parameter.trim().strip_prefix("cause="))
+        .and_then(|n| n.trim().parse().ok())
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,11 @@
-//! Codecs of the operators' platform, without input or output.
+//! Codecs of the operators' platform. They convert between bytes and typed values and do no I/O.
 //!
-//! - [`rtsp`]: cuts a stream of bytes into RTSP messages, within bounds.
-//! - [`viewer`], [`server`]: what the messages of each side mean, and the bytes of those sent to it.
-//! - [`headers`]: the fields of the platform's own.
-//! - [`discovery`]: queries to the name service and its answers.
-//! - [`peers`]: what front nodes tell each other.
-//! - [`configuration`]: the document a node is started with.
+//! - [`rtsp`]: splits a byte stream into RTSP messages of bounded size.
+//! - [`viewer`], [`server`]: the messages exchanged with viewers and with servers.
+//! - [`headers`]: the platform's own header fields and their values.
+//! - [`discovery`]: DNS queries for the server list and their answers.
+//! - [`peers`]: datagrams in which front nodes report the load of servers to each other.
+//! - [`configuration`]: the JSON document that configures a node.
 pub mod configuration;
 pub mod discovery;
 pub mod headers;
@@ -14,17 +14,20 @@
 pub mod server;
 pub mod viewer;
 
-/// One server as the configuration or the name service tells it.
+/// One server, as listed by the configuration or by the name service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerRecord {
-    /// Its id.
+    /// Unique id of the server.
     pub name: String,
     pub address: std::net::SocketAddr,
     pub zone: String,
+    /// Machine type.
     pub kind: String,
+    /// Number of the cell that the server belongs to.
     pub cell: u32,
+    /// Whether the server is shutting down and takes no new sessions.
     pub draining: bool,
     pub weight: f64,
-    /// Start of the process in Unix milliseconds, where it was not long ago.
+    /// Start time of the server process in Unix milliseconds; present only while the start is recent.
     pub started_unix_ms: Option<f64>,
 }
--- a/crates/platform/src/rtsp.rs
+++ b/crates/platform/src/rtsp.rs
@@ -1,20 +1,26 @@
-//! Cuts a stream of bytes into RTSP 1.0 messages. A message's length is known, and refused, before its body is
-//! there: a peer can make a reader hold one message's bytes and no more.
+//! Framing and encoding of RTSP 1.0 messages.
+//!
+//! The length of a message is taken from its header and checked against the limit before the body arrives, so a
+//! peer cannot make a reader buffer more than one message of the permitted size.
 use rtsp_types::headers::{HeaderName, CONTENT_LENGTH, CSEQ, SESSION};
-use rtsp_types::{Message as Raw, Method, Request, Response, StatusCode, Url, Version};
+use rtsp_types::{Message as RawMessage, Method, Request, Response, StatusCode, Url, Version};
 
-/// Longest message that the platform allows, in bytes.
+/// Longest message that the platform allows, header and body together.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-pub type Message = Raw<Vec<u8>>;
+/// An RTSP request, response or block of interleaved data.
+pub type Message = RawMessage<Vec<u8>>;
 
-/// Why a stream is of no more use. Where the next message would begin is not known after any of these.
+/// An error after which a stream is unusable, since the start of the next message is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
+    /// The message exceeds [`MAX_MESSAGE_BYTES`].
     TooLong,
+    /// Content-Length is repeated, not a number, or does not match the parsed message.
     BadContentLength,
+    /// The bytes are not an RTSP message.
     NotRtsp,
-    /// What follows a message is no message: its length was told wrong, and nothing says where it truly ends.
+    /// The bytes that follow a message do not start another one, so its Content-Length was too small.
     UnexpectedBytes,
 }
 
@@ -24,69 +30,73 @@
             FramingError::TooLong => "message too long",
             FramingError::BadContentLength => "bad Content-Length",
             FramingError::NotRtsp => "not RTSP",
-            FramingError::UnexpectedBytes => "length does not fit",
+            FramingError::UnexpectedBytes => "unexpected bytes after the message",
         })
     }
 }
 
+/// Reassembles messages from the bytes of a stream.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     buffer: Vec<u8>,
 }
 
 impl MessageReader {
-    /// Takes more bytes; callers ask for messages after each piece, so that no more than a piece beyond one
-    /// message is ever held.
+    /// Appends received bytes. Callers drain [`next_message`](Self::next_message) after each call, so that the
+    /// buffer never exceeds one message by more than the bytes of one call.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are held for a message that is not whole.
+    /// Number of buffered bytes of an incomplete message.
     pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether a message has begun and is not whole.
+    /// Whether the buffer holds the start of an incomplete message.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next whole message, if there is one. After an error the stream is of no more use.
+    /// Returns the next complete message, or `None` until more bytes arrive. After an error the stream is unusable.
     pub fn next_message(&mut self) -> Result<Option<Message>, FramingError> {
-        let blank = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-        self.buffer.drain(..blank);
+        let blank_len = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+        self.buffer.drain(..blank_len);
         if self.buffer.is_empty() {
             self.buffer = Vec::new();
             return Ok(None);
         }
-        if !may_begin(&self.buffer) {
+        if !may_start_message(&self.buffer) {
             return Err(FramingError::NotRtsp);
         }
-        let Some(head) = find(&self.buffer, b"\r\n\r\n").map(|at| at + 4) else {
+        let Some(head_len) = find_subslice(&self.buffer, b"\r\n\r\n").map(|at| at + 4) else {
             return if self.buffer.len() > MAX_MESSAGE_BYTES { Err(FramingError::TooLong) } else { Ok(None) };
         };
-        let whole =
-            head.checked_add(content_length(&self.buffer[..head])?).ok_or(FramingError::BadContentLength)?;
-        if whole > MAX_MESSAGE_BYTES {
+        let message_len = head_len
+            .checked_add(content_length(&self.buffer[..head_len])?)
+            .ok_or(FramingError::BadContentLength)?;
+        if message_len > MAX_MESSAGE_BYTES {
             return Err(FramingError::TooLong);
         }
-        if self.buffer.len() < whole {
+        if self.buffer.len() < message_len {
             return Ok(None);
         }
-        if !may_begin(&self.buffer[whole..]) {
+        if !may_start_message(&self.buffer[message_len..]) {
             return Err(FramingError::UnexpectedBytes);
         }
-        let (message, used) = Raw::parse(&self.buffer[..whole]).map_err(|_| FramingError::NotRtsp)?;
-        if used != whole {
+        let (message, parsed_len) =
+            RawMessage::parse(&self.buffer[..message_len]).map_err(|_| FramingError::NotRtsp)?;
+        if parsed_len != message_len {
             return Err(FramingError::BadContentLength);
         }
-        self.buffer.drain(..whole);
+        self.buffer.drain(..message_len);
         Ok(Some(message))
     }
 }
 
-/// What messages begin with. A closed list: the rest of a description is often words in capitals too.
-const BEGINNINGS: [&[u8]; 12] = [
+/// The first bytes of every kind of message. A fixed list rather than any word in capitals, since the remainder of a
+/// description whose length was understated often starts with such a word.
+const MESSAGE_PREFIXES: [&[u8]; 12] = [
     b"RTSP/1.0 ",
     b"SETUP ",
     b"TEARDOWN ",
@@ -101,92 +111,94 @@
     b"RECORD ",
 ];
 
-/// Whether a message may begin with these bytes, as far as they go.
-fn may_begin(bytes: &[u8]) -> bool {
-    let blank = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-    let bytes = &bytes[blank..];
-    BEGINNINGS.iter().any(|word| {
-        let both = word.len().min(bytes.len());
-        word[..both] == bytes[..both]
+/// Whether the bytes are empty or may be the start of a message, of which any number of bytes may have arrived.
+fn may_start_message(bytes: &[u8]) -> bool {
+    let blank_len = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+    let bytes = &bytes[blank_len..];
+    MESSAGE_PREFIXES.iter().any(|prefix| {
+        let common_len = prefix.len().min(bytes.len());
+        prefix[..common_len] == bytes[..common_len]
     })
 }
 
-fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).position(|w| w == what)
+fn find_subslice(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
+/// Reads the length of the body from the header; 0 if it has no Content-Length.
 fn content_length(head: &[u8]) -> Result<usize, FramingError> {
-    let mut told = None;
+    let mut length = None;
     for line in head.split(|b| *b == b'\n') {
         let Some(colon) = line.iter().position(|b| *b == b':') else { continue };
         if !line[..colon].trim_ascii().eq_ignore_ascii_case(b"content-length") {
             continue;
         }
         let value = line[colon + 1..].trim_ascii();
-        let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-        let value = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-        if told.replace(value.ok_or(FramingError::BadContentLength)?).is_some() {
+        let only_digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+        let value = std::str::from_utf8(value).ok().filter(|_| only_digits).and_then(|v| v.parse().ok());
+        if length.replace(value.ok_or(FramingError::BadContentLength)?).is_some() {
             return Err(FramingError::BadContentLength);
         }
     }
-    Ok(told.unwrap_or(0))
+    Ok(length.unwrap_or(0))
 }
 
-/// A session's id: 16 lower-case hex digits, so that it is written again as it was read.
+/// Parses the id of a session or title: exactly 16 lower-case hex digits, so that encoding restores the same text.
 pub fn parse_hex_id(text: &str) -> Option<u64> {
-    let lower = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-    (text.len() == 16 && text.bytes().all(lower)).then(|| u64::from_str_radix(text, 16).ok()).flatten()
+    let is_lower_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+    (text.len() == 16 && text.bytes().all(is_lower_hex)).then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
+/// Converts the name of a header. Panics if it is not a valid token.
 pub(crate) fn header_name(name: &'static str) -> HeaderName {
-    HeaderName::from_static_str(name).expect("a name of letters")
+    HeaderName::from_static_str(name).expect("header names of this package are ASCII tokens")
 }
 
-/// The bytes of a request. `path` is what follows `rtsp://media/`.
+/// Encodes a request to `rtsp://media/{path}`.
 pub(crate) fn encode_request(
     method: Method,
     path: &str,
     cseq: u32,
-    id: u64,
-    fields: &[(&'static str, String)],
+    session_id: u64,
+    headers: &[(&'static str, String)],
     body: &[u8],
 ) -> Vec<u8> {
-    let mut b = Request::builder(method, Version::V1_0)
+    let mut builder = Request::builder(method, Version::V1_0)
         .header(CSEQ, cseq.to_string())
-        .header(SESSION, format!("{id:016x}"))
+        .header(SESSION, format!("{session_id:016x}"))
         .header(CONTENT_LENGTH, body.len().to_string());
     if let Ok(uri) = Url::parse(&format!("rtsp://media/{path}")) {
-        b = b.request_uri(uri);
+        builder = builder.request_uri(uri);
     }
-    for (name, value) in fields {
-        b = b.header(header_name(name), value.as_str());
+    for (name, value) in headers {
+        builder = builder.header(header_name(name), value.as_str());
     }
     let mut bytes = Vec::with_capacity(256 + body.len());
-    // Writing to memory does not fail.
-    let _ = b.build(body).write(&mut bytes);
+    // Writing to a vector cannot fail.
+    let _ = builder.build(body).write(&mut bytes);
     bytes
 }
 
-/// The bytes of an answer.
+/// Encodes a response.
 pub(crate) fn encode_response(
     status: u16,
     cseq: Option<u32>,
-    id: Option<u64>,
-    fields: &[(&'static str, String)],
+    session_id: Option<u64>,
+    headers: &[(&'static str, String)],
     body: &[u8],
 ) -> Vec<u8> {
-    let mut b = Response::builder(Version::V1_0, StatusCode::from(status))
+    let mut builder = Response::builder(Version::V1_0, StatusCode::from(status))
         .header(CONTENT_LENGTH, body.len().to_string());
     if let Some(cseq) = cseq {
-        b = b.header(CSEQ, cseq.to_string());
+        builder = builder.header(CSEQ, cseq.to_string());
     }
-    if let Some(id) = id {
-        b = b.header(SESSION, format!("{id:016x}"));
+    if let Some(session_id) = session_id {
+        builder = builder.header(SESSION, format!("{session_id:016x}"));
     }
-    for (name, value) in fields {
-        b = b.header(header_name(name), value.as_str());
+    for (name, value) in headers {
+        builder = builder.header(header_name(name), value.as_str());
     }
     let mut bytes = Vec::with_capacity(192 + body.len());
-    let _ = b.build(body).write(&mut bytes);
+    let _ = builder.build(body).write(&mut bytes);
     bytes
 }
