--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -11,7 +11,7 @@
 use walnutline_control::list::{Line, State};
 use walnutline_control::rtsp::{self, Ask, Message, Reader};
 use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
-use walnutline_gate::claims::{Claims, Proof, SessionClaims};
+use walnutline_gate::claims::{ProofClaims, SessionClaims, ViewerClaims};
 use walnutline_rehearsal::boxes::{self, Common};
 use walnutline_rehearsal::deployment::{self, Folder};
 use walnutline_rehearsal::depot::Depot;
@@ -191,30 +191,30 @@
 
     pub fn through(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
         let viewer = SigningKey::from_bytes(&[3; 32]);
-        let claims = Claims {
+        let claims = ViewerClaims {
             id: vec![1],
-            path: "/m/bench.mpd".into(),
-            group: "council-notice".into(),
+            manifest_path: "/m/bench.mpd".into(),
+            service_group: "council-notice".into(),
             holders: (0..BOXES / 2).collect(),
-            top: None,
+            max_rung: None,
             tenant: None,
             not_before: None,
-            expires: now() + 600_000.0,
+            expires_at: now() + 600_000.0,
             viewer_key: viewer.verifying_key().to_bytes(),
         };
         let token = token::mint(&claims, b"k1", &self.issuer);
         let begun = now();
         let request = |no: u32, n: u32| {
-            let made = Proof {
-                key: claims.viewer_key,
+            let made = ProofClaims {
+                public_key: claims.viewer_key,
                 id: format!("{begun}-{no}-{n}"),
                 method: "GET".into(),
-                url: format!("http://{}{}", self.address, claims.path),
-                issued: now(),
+                url: format!("http://{}{}", self.address, claims.manifest_path),
+                issued_at: now(),
                 token_hash: token_hash(&token),
             };
             let proof = proof::mint(&made, &viewer);
-            let head = format!("GET {} HTTP/1.1\r\nHost: b\r\n", claims.path);
+            let head = format!("GET {} HTTP/1.1\r\nHost: b\r\n", claims.manifest_path);
             format!("{head}CTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n").into_bytes()
         };
         load(rate, seconds, connections, self.address, &request, &|stream, rest| {
@@ -232,7 +232,8 @@
         let request = |no: u32, n: u32| {
             let session = u64::from(no) << 32 | u64::from(n);
             let path = format!("/s/{session}/");
-            let claims = SessionClaims { session, server: server.server, path, expires: now() + 600_000.0 };
+            let claims =
+                SessionClaims { session, server: server.server, path, expires_at: now() + 600_000.0 };
             let ask = Ask::Setup {
                 title: "bench".into(),
                 group: "council-notice".into(),
@@ -331,28 +332,28 @@
 /// What the parts of a request's way cost by themselves, on this machine in this run.
 fn parts() -> Result<(), String> {
     let (issuer, viewer) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[3; 32]));
-    let claims = Claims {
+    let claims = ViewerClaims {
         id: vec![1],
-        path: "/m/bench.mpd".into(),
-        group: "council-notice".into(),
+        manifest_path: "/m/bench.mpd".into(),
+        service_group: "council-notice".into(),
         holders: (0..6).collect(),
-        top: None,
+        max_rung: None,
         tenant: None,
         not_before: None,
-        expires: 2e12,
+        expires_at: 2e12,
         viewer_key: viewer.verifying_key().to_bytes(),
     };
     let text = token::mint(&claims, b"k1", &issuer);
-    let made = Proof {
-        key: claims.viewer_key,
+    let made = ProofClaims {
+        public_key: claims.viewer_key,
         id: "a".into(),
         method: "GET".into(),
         url: "http://127.0.0.1:8080/m/bench.mpd".into(),
-        issued: 1e12,
+        issued_at: 1e12,
         token_hash: token_hash(&text),
     };
     let proof_text = proof::mint(&made, &viewer);
-    let session = SessionClaims { session: 1, server: 1, path: "/s/1/".into(), expires: 2e12 };
+    let session = SessionClaims { session: 1, server: 1, path: "/s/1/".into(), expires_at: 2e12 };
     let told = mpd::Told {
         title: "bench",
         base_url: "http://127.0.0.1:9/s/1/token/".into(),
--- a/crates/cli/src/token.rs
+++ b/crates/cli/src/token.rs
@@ -2,7 +2,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 use walnutline_dash::{from_base64, proof, to_base64, token, token_hash, SigningKey};
-use walnutline_gate::claims::{Claims, Proof};
+use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 #[derive(clap::Subcommand)]
 pub enum Command {
@@ -53,15 +53,15 @@
         }
         Command::Mint { issuer, key_id, viewer, title, group, holders, lasts } => {
             let path = percent_encoding::utf8_percent_encode(&title, percent_encoding::NON_ALPHANUMERIC);
-            let claims = Claims {
+            let claims = ViewerClaims {
                 id: random()?[..16].to_vec(),
-                path: format!("/m/{path}.mpd"),
-                group,
+                manifest_path: format!("/m/{path}.mpd"),
+                service_group: group,
                 holders,
-                top: None,
+                max_rung: None,
                 tenant: None,
                 not_before: None,
-                expires: now + lasts * 1_000.0,
+                expires_at: now + lasts * 1_000.0,
                 viewer_key: read(&viewer)?,
             };
             println!("{}", token::mint(&claims, key_id.as_bytes(), &SigningKey::from_bytes(&read(&issuer)?)));
@@ -69,12 +69,12 @@
         }
         Command::Prove { viewer, url, token } => {
             let key = SigningKey::from_bytes(&read(&viewer)?);
-            let proof = Proof {
-                key: key.verifying_key().to_bytes(),
+            let proof = ProofClaims {
+                public_key: key.verifying_key().to_bytes(),
                 id: to_base64(&random()?[..16]),
                 method: "GET".into(),
                 url,
-                issued: now,
+                issued_at: now,
                 token_hash: token_hash(&token),
             };
             println!("{}", proof::mint(&proof, &key));
--- a/crates/cli/tests/path.rs
+++ b/crates/cli/tests/path.rs
@@ -101,23 +101,23 @@
     let (phone, front) = (Phone::new(10), p.front.address);
     let before = setups(&p.log).len();
     let good = phone.claims("water", &[0]);
-    let changed = |change: fn(&mut walnutline_gate::claims::Claims)| {
+    let changed = |change: fn(&mut walnutline_gate::claims::ViewerClaims)| {
         let mut c = good.clone();
         change(&mut c);
         mint(&c)
     };
     let cases = [
-        (changed(|c| c.expires -= 3_600_000.0), 401, "expired"),
-        (changed(|c| c.path = "/m/other.mpd".into()), 403, "other-title"),
-        (changed(|c| c.group = "nobody".into()), 403, "unknown-group"),
+        (changed(|c| c.expires_at -= 3_600_000.0), 401, "expired"),
+        (changed(|c| c.manifest_path = "/m/other.mpd".into()), 403, "other-title"),
+        (changed(|c| c.service_group = "nobody".into()), 403, "unknown-group"),
         (changed(|c| c.holders.clear()), 403, "no-holders"),
         (token::mint(&good, b"k9", &issuer()), 401, "unknown-key"),
         (token::mint(&good, b"k1", &phone.key), 401, "bad-signature"),
         ("A".repeat(2_049), 401, "token-too-long"),
         ("not a token".into(), 401, "token-malformed"),
     ];
-    for (token, status, reason) in cases {
-        let answer = ask(front, &request("water", &token, &phone.proof(front, "water", &token)));
+    for (check_token, status, reason) in cases {
+        let answer = ask(front, &request("water", &check_token, &phone.proof(front, "water", &check_token)));
         assert_eq!((answer.status, answer.body.trim()), (status, reason));
     }
     let none = ask(front, "GET /m/water.mpd HTTP/1.1\r\nHost: f\r\n\r\n");
@@ -183,7 +183,7 @@
     let p = place(&[Does::Resets; 3]);
     let phone = Phone::new(10);
     let mut claims = phone.claims("film", &p.holders());
-    claims.group = "paid".into();
+    claims.service_group = "paid".into();
     let token = mint(&claims);
     let proof = phone.proof(p.front.address, "film", &token);
     let answer = ask(p.front.address, &request("film", &token, &proof));
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use walnutline_control::list::{self, Line, List, State};
 use walnutline_control::rtsp::{self, Ask, Message, Reader};
 use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
-use walnutline_gate::claims::{Claims, Proof};
+use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Longest that anything here is waited for.
 pub const LONG: Duration = Duration::from_secs(20);
@@ -330,16 +330,16 @@
         Phone { key: SigningKey::from_bytes(&[n; 32]), proofs: AtomicU32::new(0) }
     }
 
-    pub fn claims(&self, title: &str, holders: &[u32]) -> Claims {
-        Claims {
+    pub fn claims(&self, title: &str, holders: &[u32]) -> ViewerClaims {
+        ViewerClaims {
             id: vec![7],
-            path: format!("/m/{title}.mpd"),
-            group: "council-notice".into(),
+            manifest_path: format!("/m/{title}.mpd"),
+            service_group: "council-notice".into(),
             holders: holders.to_vec(),
-            top: None,
+            max_rung: None,
             tenant: None,
             not_before: None,
-            expires: unix_ms() + 60_000.0,
+            expires_at: unix_ms() + 60_000.0,
             viewer_key: self.key.verifying_key().to_bytes(),
         }
     }
@@ -350,12 +350,12 @@
 
     pub fn proof(&self, front: SocketAddr, title: &str, token: &str) -> String {
         let n = self.proofs.fetch_add(1, Ordering::SeqCst);
-        let made = Proof {
-            key: self.key.verifying_key().to_bytes(),
+        let made = ProofClaims {
+            public_key: self.key.verifying_key().to_bytes(),
             id: format!("p{n}"),
             method: "GET".into(),
             url: format!("http://{front}/m/{title}.mpd"),
-            issued: unix_ms(),
+            issued_at: unix_ms(),
             token_hash: token_hash(token),
         };
         proof::mint(&made, &self.key)
@@ -372,7 +372,7 @@
     }
 }
 
-pub fn mint(claims: &Claims) -> String {
+pub fn mint(claims: &ViewerClaims) -> String {
     token::mint(claims, b"k1", &issuer())
 }
 
--- a/crates/dash/src/proof.rs
+++ b/crates/dash/src/proof.rs
@@ -3,8 +3,8 @@
 use crate::{from_base64, to_base64};
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
-use walnutline_gate::claims::Proof;
-use walnutline_gate::verdict::Refusal;
+use walnutline_gate::authorization::Refusal;
+use walnutline_gate::claims::ProofClaims;
 
 /// Longest proof that is looked at, in characters.
 pub const LONGEST: usize = 2_048;
@@ -33,14 +33,14 @@
 }
 
 /// Signs a proof; its `key` is the signing key's, whatever it says.
-pub fn mint(proof: &Proof, key: &SigningKey) -> String {
+pub fn mint(proof: &ProofClaims, key: &SigningKey) -> String {
     let jwk = Jwk { kty: "OKP".into(), crv: "Ed25519".into(), x: to_base64(key.verifying_key().as_bytes()) };
     let header = Header { typ: "dpop+jwt".into(), alg: "EdDSA".into(), jwk };
     let payload = Payload {
         jti: proof.id.clone(),
         htm: proof.method.clone(),
         htu: proof.url.clone(),
-        iat: proof.issued / 1_000.0,
+        iat: proof.issued_at / 1_000.0,
         ath: to_base64(&proof.token_hash),
     };
     let part = |json: serde_json::Result<Vec<u8>>| to_base64(&json.expect("plain texts and numbers"));
@@ -51,7 +51,7 @@
 
 /// Reads a proof and checks that its own key signed it. Whose key that is, and whether the proof is for the
 /// request at hand, is for the caller to compare.
-pub fn open(proof: &str) -> Result<Proof, Refusal> {
+pub fn open(proof: &str) -> Result<ProofClaims, Refusal> {
     if proof.len() > LONGEST {
         return Err(Refusal::ProofTooLong);
     }
@@ -71,12 +71,12 @@
     let signature = from_base64(signature).ok().and_then(|s| Signature::from_slice(&s).ok());
     let signature = signature.ok_or_else(|| bad("signature: not 64 bytes"))?;
     verifying.verify_strict(signed.as_bytes(), &signature).map_err(|_| Refusal::ProofBadSignature)?;
-    Ok(Proof {
-        key,
+    Ok(ProofClaims {
+        public_key: key,
         id: payload.jti,
         method: payload.htm,
         url: payload.htu,
-        issued: payload.iat * 1_000.0,
+        issued_at: payload.iat * 1_000.0,
         token_hash: bytes32(&payload.ath).ok_or_else(|| bad("ath: not a SHA-256"))?,
     })
 }
@@ -95,13 +95,13 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn proof(key: &SigningKey) -> Proof {
-        Proof {
-            key: key.verifying_key().to_bytes(),
+    fn proof(key: &SigningKey) -> ProofClaims {
+        ProofClaims {
+            public_key: key.verifying_key().to_bytes(),
             id: "j-1".into(),
             method: "GET".into(),
             url: "http://127.0.0.1:80/m/a.mpd".into(),
-            issued: 1_700_000_000_250.0,
+            issued_at: 1_700_000_000_250.0,
             token_hash: [5; 32],
         }
     }
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -6,9 +6,9 @@
 use ciborium::Value;
 use coset::{iana, CborSerializable, CoseSign1, CoseSign1Builder, HeaderBuilder, TaggedCborSerializable};
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
-use walnutline_gate::claims::{Claims, SessionClaims};
-use walnutline_gate::keys::Miss;
-use walnutline_gate::verdict::Refusal;
+use walnutline_gate::authorization::Refusal;
+use walnutline_gate::claims::{SessionClaims, ViewerClaims};
+use walnutline_gate::keys::KeyLookupError;
 use walnutline_gate::UnixMs;
 
 /// Longest token that is looked at, in characters.
@@ -41,7 +41,7 @@
 const X: i64 = -2;
 
 /// Signs a viewer's token.
-pub fn mint(claims: &Claims, key_id: &[u8], key: &SigningKey) -> String {
+pub fn mint(claims: &ViewerClaims, key_id: &[u8], key: &SigningKey) -> String {
     let cose_key = vec![
         (KTY.0.into(), KTY.1.into()),
         (CRV.0.into(), CRV.1.into()),
@@ -49,16 +49,16 @@
     ];
     let holders = claims.holders.iter().map(|h| Value::from(*h)).collect();
     let mut map = vec![
-        (EXP.into(), seconds(claims.expires)),
+        (EXP.into(), seconds(claims.expires_at)),
         (CTI.into(), Value::Bytes(claims.id.clone())),
         (CNF.into(), Value::Map(vec![(1.into(), Value::Map(cose_key))])),
         (CATV.into(), 1.into()),
-        (CATU.into(), path_claim(MATCH_EXACT, &claims.path)),
-        (GROUP.into(), claims.group.clone().into()),
+        (CATU.into(), path_claim(MATCH_EXACT, &claims.manifest_path)),
+        (GROUP.into(), claims.service_group.clone().into()),
         (HOLDERS.into(), Value::Array(holders)),
     ];
     map.extend(claims.not_before.map(|t| (NBF.into(), seconds(t))));
-    map.extend(claims.top.map(|t| (TOP.into(), t.into())));
+    map.extend(claims.max_rung.map(|t| (TOP.into(), t.into())));
     map.extend(claims.tenant.clone().map(|t| (TENANT.into(), t.into())));
     sign(map, key_id, key)
 }
@@ -68,7 +68,7 @@
     let map = vec![
         (SUB.into(), claims.session.to_string().into()),
         (AUD.into(), claims.server.to_string().into()),
-        (EXP.into(), seconds(claims.expires)),
+        (EXP.into(), seconds(claims.expires_at)),
         (CATV.into(), 1.into()),
         (CATU.into(), path_claim(MATCH_PREFIX, &claims.path)),
     ];
@@ -97,7 +97,10 @@
 }
 
 /// Reads a viewer's token and checks its signature by the key that it names.
-pub fn open(token: &str, key: impl Fn(&[u8]) -> Result<VerifyingKey, Miss>) -> Result<Claims, Refusal> {
+pub fn open(
+    token: &str,
+    key: impl Fn(&[u8]) -> Result<VerifyingKey, KeyLookupError>,
+) -> Result<ViewerClaims, Refusal> {
     let map = verified(token, key)?;
     let claims = read(&map).map_err(Refusal::TokenMalformed)?;
     Ok(claims)
@@ -106,7 +109,7 @@
 /// Reads a session's token likewise.
 pub fn open_session(
     token: &str,
-    key: impl Fn(&[u8]) -> Result<VerifyingKey, Miss>,
+    key: impl Fn(&[u8]) -> Result<VerifyingKey, KeyLookupError>,
 ) -> Result<SessionClaims, Refusal> {
     let map = verified(token, key)?;
     read_session(&map).map_err(Refusal::TokenMalformed)
@@ -126,7 +129,7 @@
 
 fn verified(
     token: &str,
-    key: impl Fn(&[u8]) -> Result<VerifyingKey, Miss>,
+    key: impl Fn(&[u8]) -> Result<VerifyingKey, KeyLookupError>,
 ) -> Result<Vec<(Value, Value)>, Refusal> {
     if token.len() > LONGEST {
         return Err(Refusal::TokenTooLong);
@@ -157,7 +160,7 @@
     }
 }
 
-fn read(map: &[(Value, Value)]) -> Result<Claims, String> {
+fn read(map: &[(Value, Value)]) -> Result<ViewerClaims, String> {
     understood(map, &[CATV, CATU])?;
     let key = at(map, CNF)?.as_map().and_then(|m| find(m, 1)).and_then(Value::as_map);
     let key = key.ok_or("cnf: no COSE_Key")?;
@@ -171,15 +174,15 @@
         None => Ok(None),
         Some(v) => v.as_text().map(|t| Some(t.to_owned())).ok_or(format!("{name}: not a text")),
     };
-    Ok(Claims {
+    Ok(ViewerClaims {
         id: at(map, CTI)?.as_bytes().ok_or("cti: not bytes")?.clone(),
-        path: path(map, MATCH_EXACT)?,
-        group: text(GROUP, "service group")?.ok_or("service group: missing")?,
+        manifest_path: path(map, MATCH_EXACT)?,
+        service_group: text(GROUP, "service group")?.ok_or("service group: missing")?,
         holders: holders.iter().map(|v| number(v, "holders")).collect::<Result<_, _>>()?,
-        top: find(map, TOP).map(|v| number(v, "highest rung")).transpose()?,
+        max_rung: find(map, TOP).map(|v| number(v, "highest rung")).transpose()?,
         tenant: text(TENANT, "tenant")?,
         not_before: find(map, NBF).map(|v| time(v, "nbf")).transpose()?,
-        expires: time(at(map, EXP)?, "exp")?,
+        expires_at: time(at(map, EXP)?, "exp")?,
         viewer_key: x.as_slice().try_into().map_err(|_| "cnf: not 32 bytes of key")?,
     })
 }
@@ -194,7 +197,7 @@
         session: text(SUB, "sub")?,
         server: u32::try_from(text(AUD, "aud")?).map_err(|_| "aud: not a box's number")?,
         path: path(map, MATCH_PREFIX)?,
-        expires: time(at(map, EXP)?, "exp")?,
+        expires_at: time(at(map, EXP)?, "exp")?,
     })
 }
 
--- a/crates/dash/src/token/tests.rs
+++ b/crates/dash/src/token/tests.rs
@@ -5,32 +5,32 @@
     SigningKey::from_bytes(&[n; 32])
 }
 
-fn claims() -> Claims {
-    Claims {
+fn claims() -> ViewerClaims {
+    ViewerClaims {
         id: vec![1, 2],
-        path: "/m/water.mpd".into(),
-        group: "council-notice".into(),
+        manifest_path: "/m/water.mpd".into(),
+        service_group: "council-notice".into(),
         holders: vec![3, 70_000],
-        top: Some(2),
+        max_rung: Some(2),
         tenant: Some("north".into()),
         not_before: Some(5_000.0),
-        expires: 1_700_000_000_500.0,
+        expires_at: 1_700_000_000_500.0,
         viewer_key: [9; 32],
     }
 }
 
-fn by_id(id: &[u8]) -> Result<VerifyingKey, Miss> {
+fn by_id(id: &[u8]) -> Result<VerifyingKey, KeyLookupError> {
     if id == b"k1" {
         Ok(key(1).verifying_key())
     } else {
-        Err(Miss::Unknown)
+        Err(KeyLookupError::Unknown)
     }
 }
 
 #[test]
 fn what_was_minted_is_read_back() {
     assert_eq!(open(&mint(&claims(), b"k1", &key(1)), by_id), Ok(claims()));
-    let session = SessionClaims { session: u64::MAX, server: 7, path: "/s/1/".into(), expires: 2_000.0 };
+    let session = SessionClaims { session: u64::MAX, server: 7, path: "/s/1/".into(), expires_at: 2_000.0 };
     assert_eq!(open_session(&mint_session(&session, b"k1", &key(1)), by_id), Ok(session));
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-fn signed(map: Vec<(Value, Value)>) -> Result<Claims, Refusal> {
+fn signed(map: Vec<(Value, Value)>) -> Result<ViewerClaims, Refusal> {
     open(&sign(map, b"k1", &key(1)), by_id)
 }
 
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -3,7 +3,7 @@
 use crate::hub::{Plays, Reply};
 use crate::Shared;
 use walnutline_dash::mpd;
-use walnutline_gate::verdict::Refusal;
+use walnutline_gate::authorization::Refusal;
 
 pub fn write(shared: &Shared, reply: &Reply) -> Response {
     match reply {
@@ -23,7 +23,7 @@
 }
 
 pub fn refused(refusal: &Refusal) -> Response {
-    let status = refusal.status();
+    let status = refusal.http_status();
     if status == 503 {
         return busy(refusal.reason(), 1_000.0);
     }
--- a/crates/front/src/door.rs
+++ b/crates/front/src/door.rs
@@ -2,34 +2,34 @@
 use arc_swap::ArcSwap;
 use std::sync::Mutex;
 use walnutline_dash::{proof, proof_mark, token, token_hash, SigningKey, VerifyingKey};
-use walnutline_gate::claims::{Claims, SessionClaims};
-use walnutline_gate::keys::Ring;
-use walnutline_gate::used::Used;
-use walnutline_gate::verdict::{Admission, Asked, Refusal};
+use walnutline_gate::authorization::{AuthorizationPolicy, Refusal, RequestContext};
+use walnutline_gate::claims::{SessionClaims, ViewerClaims};
+use walnutline_gate::keys::KeySet;
+use walnutline_gate::replay::ReplayCache;
 
 pub struct Door {
-    terms: Admission,
-    used: Mutex<Used>,
-    issuer: ArcSwap<Ring<VerifyingKey>>,
-    session: ArcSwap<Ring<SigningKey>>,
+    terms: AuthorizationPolicy,
+    used: Mutex<ReplayCache>,
+    issuer: ArcSwap<KeySet<VerifyingKey>>,
+    session: ArcSwap<KeySet<SigningKey>>,
 }
 
 impl Door {
     pub fn new(
-        terms: Admission,
+        terms: AuthorizationPolicy,
         proofs: usize,
-        issuer: Ring<VerifyingKey>,
-        session: Ring<SigningKey>,
+        issuer: KeySet<VerifyingKey>,
+        session: KeySet<SigningKey>,
     ) -> Self {
         Door {
             terms,
-            used: Mutex::new(Used::new(terms.window(), proofs)),
+            used: Mutex::new(ReplayCache::new(terms.replay_window_ms(), proofs)),
             issuer: ArcSwap::from_pointee(issuer),
             session: ArcSwap::from_pointee(session),
         }
     }
 
-    pub fn reload(&self, issuer: Ring<VerifyingKey>, session: Ring<SigningKey>) {
+    pub fn reload(&self, issuer: KeySet<VerifyingKey>, session: KeySet<SigningKey>) {
         self.issuer.store(issuer.into());
         self.session.store(session.into());
     }
@@ -41,25 +41,25 @@
         token: Option<&str>,
         proof: Option<&str>,
         now: f64,
-    ) -> Result<Claims, Refusal> {
+    ) -> Result<ViewerClaims, Refusal> {
         let token = token.ok_or(Refusal::NoToken)?;
         let hash = token_hash(token);
-        let asked = Asked { method, path, url, token_hash: &hash };
+        let asked = RequestContext { method, path, url, token_hash: &hash };
         let ring = self.issuer.load();
         let claims = token::open(token, |id| ring.find(id, now).copied())?;
-        self.terms.token(&claims, asked, now)?;
+        self.terms.check_token(&claims, asked, now)?;
         let proof = proof::open(proof.ok_or(Refusal::NoProof)?)?;
-        self.terms.proof(&claims, &proof, asked, now)?;
-        let mark = proof_mark(&proof.key, &proof.id);
-        let use_ = self.used.lock().unwrap_or_else(|e| e.into_inner()).enter(mark, now);
-        self.terms.first_use(use_)?;
+        self.terms.check_proof(&claims, &proof, asked, now)?;
+        let mark = proof_mark(&proof.public_key, &proof.id);
+        let use_ = self.used.lock().unwrap_or_else(|e| e.into_inner()).check_and_insert(mark, now);
+        self.terms.check_first_use(use_)?;
         Ok(claims)
     }
 
     /// Signs a session's token; `None` while no session key is in force.
     pub fn mint(&self, claims: &SessionClaims, now: f64) -> Option<String> {
         let ring = self.session.load();
-        let entry = ring.signer(now)?;
+        let entry = ring.signing_key(now)?;
         Some(token::mint_session(claims, &entry.id, &entry.key))
     }
 
@@ -67,7 +67,7 @@
     pub fn own(&self, token: &str, now: f64) -> Result<SessionClaims, Refusal> {
         let ring = self.session.load();
         let claims = token::open_session(token, |id| ring.find(id, now).map(SigningKey::verifying_key))?;
-        if now >= claims.expires {
+        if now >= claims.expires_at {
             return Err(Refusal::Expired);
         }
         Ok(claims)
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -60,7 +60,7 @@
             session: self.id.0,
             server: server.0,
             path: format!("/s/{}/", self.id.0),
-            expires: now + shared.manifest.token_lasts,
+            expires_at: now + shared.manifest.token_lasts,
         };
         let token = shared.door.mint(&claims, now)?;
         *minted = Some((server, token.clone()));
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -16,8 +16,8 @@
 use walnutline_catalogue::advice;
 use walnutline_catalogue::version::Version;
 use walnutline_desk::live::Ask;
-use walnutline_gate::claims::Claims;
-use walnutline_gate::verdict::Refusal;
+use walnutline_gate::authorization::Refusal;
+use walnutline_gate::claims::ViewerClaims;
 
 /// What the answering coroutine of a connection is told.
 pub enum Msg {
@@ -306,19 +306,20 @@
     }
 
     /// A request that was let in, as the desk takes it, and its title.
-    fn ask(&self, claims: &Claims, request: &Request) -> Result<(Ask, String), Refusal> {
+    fn ask(&self, claims: &ViewerClaims, request: &Request) -> Result<(Ask, String), Refusal> {
         let groups = &self.shared.groups;
-        let group = groups.iter().position(|g| g.name == claims.group).ok_or(Refusal::UnknownGroup)?;
+        let group =
+            groups.iter().position(|g| g.name == claims.service_group).ok_or(Refusal::UnknownGroup)?;
         let of_query = |name: &str| http::query(&request.query, name).and_then(|v| v.parse::<f64>().ok());
         let patience = groups[group].patience;
         let top = of_query("top").map_or(u8::MAX, |t| t.clamp(0.0, 255.0) as u8);
-        let title = title(&claims.path);
+        let title = title(&claims.manifest_path);
         let ask = Ask {
             group: GroupNo(group as u16),
             title: title_id(&title),
             holders: claims.holders.iter().map(|h| ServerId(*h)).collect(),
             rates: None,
-            top: top.min(claims.top.unwrap_or(u8::MAX)).min(groups[group].top),
+            top: top.min(claims.max_rung.unwrap_or(u8::MAX)).min(groups[group].top),
             left: of_query("wait").filter(|w| *w > 0.0).map_or(patience, |w| w.min(patience)),
         };
         Ok((ask, title))
--- a/crates/front/tests/stack.rs
+++ b/crates/front/tests/stack.rs
@@ -3,19 +3,19 @@
 //! unoptimised build too, which takes more.
 use may::coroutine::Builder;
 use walnutline_dash::{mpd, proof, to_base64, token, SigningKey};
-use walnutline_gate::claims::{Claims, Proof};
-use walnutline_gate::keys::Miss;
+use walnutline_gate::claims::{ProofClaims, ViewerClaims};
+use walnutline_gate::keys::KeyLookupError;
 
-fn claims() -> Claims {
-    Claims {
+fn claims() -> ViewerClaims {
+    ViewerClaims {
         id: vec![1; 16],
-        path: "/m/a.mpd".into(),
-        group: "g".repeat(60),
+        manifest_path: "/m/a.mpd".into(),
+        service_group: "g".repeat(60),
         holders: (0..200).collect(),
-        top: Some(1),
+        max_rung: Some(1),
         tenant: Some("t".into()),
         not_before: Some(1.0),
-        expires: 2e12,
+        expires_at: 2e12,
         viewer_key: SigningKey::from_bytes(&[3; 32]).verifying_key().to_bytes(),
     }
 }
@@ -28,14 +28,14 @@
         token::open(&text, |_| Ok(issuer.verifying_key())).unwrap();
         for head in [0x81u8, 0xa1, 0xc1, 0x9f, 0x5f] {
             let deep = to_base64(&vec![head; token::LONGEST * 3 / 4]);
-            assert!(token::open(&deep, |_| Err(Miss::Unknown)).is_err());
+            assert!(token::open(&deep, |_| Err(KeyLookupError::Unknown)).is_err());
         }
-        let made = Proof {
-            key: claims().viewer_key,
+        let made = ProofClaims {
+            public_key: claims().viewer_key,
             id: "j".repeat(900),
             method: "GET".into(),
             url: "http://f/m/a.mpd".into(),
-            issued: 1.0,
+            issued_at: 1.0,
             token_hash: [0; 32],
         };
         proof::open(&proof::mint(&made, &viewer)).unwrap();
--- a/crates/gate/src/verdict.rs
+++ b/crates/gate/src/authorization.rs
@@ -1,16 +1,16 @@
 //! Whether a request with its token and proof is let in, or why not.
-use crate::claims::{Claims, Proof};
-use crate::keys::Miss;
-use crate::used::Use;
+use crate::claims::{ProofClaims, ViewerClaims};
+use crate::keys::KeyLookupError;
+use crate::replay::ReplayCheck;
 use crate::UnixMs;
 
 /// Terms of letting in that the operator states.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Admission {
+pub struct AuthorizationPolicy {
     /// How old a proof may be, in milliseconds.
-    pub proof_age: UnixMs,
+    pub max_proof_age_ms: UnixMs,
     /// How far clocks may be apart, in milliseconds.
-    pub clock_skew: UnixMs,
+    pub clock_skew_ms: UnixMs,
 }
 
 /// Why a request is not let in. No SETUP is sent for any of these.
@@ -42,7 +42,7 @@
 impl Refusal {
     /// The HTTP status: 401 where a better token or proof would help, 403 where this token gives no leave for
     /// this, 503 where the front has no room to tell.
-    pub fn status(&self) -> u16 {
+    pub fn http_status(&self) -> u16 {
         match self {
             Refusal::OtherTitle | Refusal::UnknownGroup | Refusal::NoHolders | Refusal::ProofUsed => 403,
             Refusal::ProofOfOtherKey => 403,
@@ -79,18 +79,18 @@
     }
 }
 
-impl From<Miss> for Refusal {
-    fn from(miss: Miss) -> Self {
+impl From<KeyLookupError> for Refusal {
+    fn from(miss: KeyLookupError) -> Self {
         match miss {
-            Miss::Unknown => Refusal::UnknownKey,
-            Miss::NotInForce => Refusal::KeyNotInForce,
+            KeyLookupError::Unknown => Refusal::UnknownKey,
+            KeyLookupError::NotInForce => Refusal::KeyNotInForce,
         }
     }
 }
 
 /// The request that a token and proof came with.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct RequestContext<'a> {
     pub method: &'a str,
     /// Path of the manifest, without the query.
     pub path: &'a str,
@@ -100,21 +100,26 @@
     pub token_hash: &'a [u8; 32],
 }
 
-impl Admission {
+impl AuthorizationPolicy {
     /// How long a used proof has to be remembered.
-    pub fn window(&self) -> UnixMs {
-        self.proof_age + 2.0 * self.clock_skew
+    pub fn replay_window_ms(&self) -> UnixMs {
+        self.max_proof_age_ms + 2.0 * self.clock_skew_ms
     }
 
     /// Whether a token whose signature holds gives leave for this request.
-    pub fn token(&self, claims: &Claims, asked: Asked, now: UnixMs) -> Result<(), Refusal> {
-        if now >= claims.expires + self.clock_skew {
+    pub fn check_token(
+        &self,
+        claims: &ViewerClaims,
+        asked: RequestContext,
+        now: UnixMs,
+    ) -> Result<(), Refusal> {
+        if now >= claims.expires_at + self.clock_skew_ms {
             return Err(Refusal::Expired);
         }
-        if claims.not_before.is_some_and(|t| now < t - self.clock_skew) {
+        if claims.not_before.is_some_and(|t| now < t - self.clock_skew_ms) {
             return Err(Refusal::NotYetValid);
         }
-        if claims.path != asked.path {
+        if claims.manifest_path != asked.path {
             return Err(Refusal::OtherTitle);
         }
         if claims.holders.is_empty() {
@@ -125,8 +130,14 @@
 
     /// Whether a proof whose signature holds was made by the token's own viewer for this very request. It
     /// still has to be entered as used.
-    pub fn proof(&self, claims: &Claims, proof: &Proof, asked: Asked, now: UnixMs) -> Result<(), Refusal> {
-        if proof.key != claims.viewer_key {
+    pub fn check_proof(
+        &self,
+        claims: &ViewerClaims,
+        proof: &ProofClaims,
+        asked: RequestContext,
+        now: UnixMs,
+    ) -> Result<(), Refusal> {
+        if proof.public_key != claims.viewer_key {
             return Err(Refusal::ProofOfOtherKey);
         }
         if proof.method != asked.method || proof.url != asked.url {
@@ -135,18 +146,18 @@
         if proof.token_hash != *asked.token_hash {
             return Err(Refusal::ProofForOtherToken);
         }
-        let age = now - proof.issued;
-        if !(-self.clock_skew..=self.proof_age + self.clock_skew).contains(&age) {
+        let age = now - proof.issued_at;
+        if !(-self.clock_skew_ms..=self.max_proof_age_ms + self.clock_skew_ms).contains(&age) {
             return Err(Refusal::ProofStale);
         }
         Ok(())
     }
 
-    pub fn first_use(&self, use_: Use) -> Result<(), Refusal> {
+    pub fn check_first_use(&self, use_: ReplayCheck) -> Result<(), Refusal> {
         match use_ {
-            Use::First => Ok(()),
-            Use::Again => Err(Refusal::ProofUsed),
-            Use::NoRoom => Err(Refusal::NoRoomForProofs),
+            ReplayCheck::FirstUse => Ok(()),
+            ReplayCheck::Replayed => Err(Refusal::ProofUsed),
+            ReplayCheck::CacheFull => Err(Refusal::NoRoomForProofs),
         }
     }
 }
@@ -157,58 +168,59 @@
     use test_case::test_case;
 
     const NOW: UnixMs = 1e12;
-    const TERMS: Admission = Admission { proof_age: 10_000.0, clock_skew: 2_000.0 };
-    const ASKED: Asked =
-        Asked { method: "GET", path: "/m/a.mpd", url: "http://front/m/a.mpd", token_hash: &[7; 32] };
+    const TERMS: AuthorizationPolicy =
+        AuthorizationPolicy { max_proof_age_ms: 10_000.0, clock_skew_ms: 2_000.0 };
+    const ASKED: RequestContext =
+        RequestContext { method: "GET", path: "/m/a.mpd", url: "http://front/m/a.mpd", token_hash: &[7; 32] };
 
-    fn claims() -> Claims {
-        Claims {
+    fn claims() -> ViewerClaims {
+        ViewerClaims {
             id: vec![1],
-            path: "/m/a.mpd".into(),
-            group: "council-notice".into(),
+            manifest_path: "/m/a.mpd".into(),
+            service_group: "council-notice".into(),
             holders: vec![3],
-            top: None,
+            max_rung: None,
             tenant: None,
             not_before: None,
-            expires: NOW + 1.0,
+            expires_at: NOW + 1.0,
             viewer_key: [9; 32],
         }
     }
 
-    fn proof() -> Proof {
-        Proof {
-            key: [9; 32],
+    fn proof() -> ProofClaims {
+        ProofClaims {
+            public_key: [9; 32],
             id: "x".into(),
             method: "GET".into(),
             url: ASKED.url.into(),
-            issued: NOW,
+            issued_at: NOW,
             token_hash: [7; 32],
         }
     }
 
     #[test_case(|_| {} => None; "good")]
-    #[test_case(|c| c.expires = NOW - 2_000.0 => Some(Refusal::Expired); "expired beyond the skew")]
-    #[test_case(|c| c.expires = NOW - 1_000.0 => None; "expired within the skew")]
+    #[test_case(|c| c.expires_at = NOW - 2_000.0 => Some(Refusal::Expired); "expired beyond the skew")]
+    #[test_case(|c| c.expires_at = NOW - 1_000.0 => None; "expired within the skew")]
     #[test_case(|c| c.not_before = Some(NOW + 2_001.0) => Some(Refusal::NotYetValid); "not yet valid")]
-    #[test_case(|c| c.path = "/m/b.mpd".into() => Some(Refusal::OtherTitle); "other title")]
+    #[test_case(|c| c.manifest_path = "/m/b.mpd".into() => Some(Refusal::OtherTitle); "other title")]
     #[test_case(|c| c.holders.clear() => Some(Refusal::NoHolders); "no holders")]
-    fn tokens(change: fn(&mut Claims)) -> Option<Refusal> {
+    fn tokens(change: fn(&mut ViewerClaims)) -> Option<Refusal> {
         let mut c = claims();
         change(&mut c);
-        TERMS.token(&c, ASKED, NOW).err()
+        TERMS.check_token(&c, ASKED, NOW).err()
     }
 
     #[test_case(|_| {} => None; "good")]
-    #[test_case(|p| p.key = [8; 32] => Some(Refusal::ProofOfOtherKey); "other phone's key")]
+    #[test_case(|p| p.public_key = [8; 32] => Some(Refusal::ProofOfOtherKey); "other phone's key")]
     #[test_case(|p| p.url = "http://other/m/a.mpd".into() => Some(Refusal::ProofForOtherRequest); "other front")]
     #[test_case(|p| p.method = "POST".into() => Some(Refusal::ProofForOtherRequest); "other method")]
     #[test_case(|p| p.token_hash = [0; 32] => Some(Refusal::ProofForOtherToken); "other token")]
-    #[test_case(|p| p.issued = NOW - 12_001.0 => Some(Refusal::ProofStale); "too old")]
-    #[test_case(|p| p.issued = NOW + 2_001.0 => Some(Refusal::ProofStale); "from the future")]
-    #[test_case(|p| p.issued = f64::NAN => Some(Refusal::ProofStale); "no time at all")]
-    fn proofs(change: fn(&mut Proof)) -> Option<Refusal> {
+    #[test_case(|p| p.issued_at = NOW - 12_001.0 => Some(Refusal::ProofStale); "too old")]
+    #[test_case(|p| p.issued_at = NOW + 2_001.0 => Some(Refusal::ProofStale); "from the future")]
+    #[test_case(|p| p.issued_at = f64::NAN => Some(Refusal::ProofStale); "no time at all")]
+    fn proofs(change: fn(&mut ProofClaims)) -> Option<Refusal> {
         let mut p = proof();
         change(&mut p);
-        TERMS.proof(&claims(), &p, ASKED, NOW).err()
+        TERMS.check_proof(&claims(), &p, ASKED, NOW).err()
     }
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! - [`claims`]: what a token and a proof of possession say once they are read.
 //! - [`keys`]: which keys are in force when.
-//! - [`verdict`]: whether a request with its token and proof is let in, or why not.
-//! - [`used`]: proofs that were used already.
+//! - [`authorization`]: whether a request with its token and proof is let in, or why not.
+//! - [`replay`]: proofs that were used already.
+pub mod authorization;
 pub mod claims;
 pub mod keys;
-pub mod used;
-pub mod verdict;
+pub mod replay;
 
 /// Milliseconds since the Unix epoch, with fractions.
 pub type UnixMs = f64;
--- a/crates/gate/src/used.rs
+++ b/crates/gate/src/replay.rs
@@ -10,32 +10,32 @@
 use std::collections::HashSet;
 
 /// The first 16 bytes of a SHA-256 over key and id: ids are the viewers' to choose, hashes are not.
-pub type Mark = [u8; 16];
+pub type ProofDigest = [u8; 16];
 
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-pub enum Use {
-    First,
-    Again,
+pub enum ReplayCheck {
+    FirstUse,
+    Replayed,
     /// More proofs came within a window than there is room for.
-    NoRoom,
+    CacheFull,
 }
 
 #[derive(Debug)]
-pub struct Used {
-    young: HashSet<Mark>,
-    old: HashSet<Mark>,
+pub struct ReplayCache {
+    young: HashSet<ProofDigest>,
+    old: HashSet<ProofDigest>,
     turned: UnixMs,
     window: UnixMs,
     most: usize,
 }
 
-impl Used {
+impl ReplayCache {
     /// `window`: how long after its first possible use a proof may still be within its time.
     pub fn new(window: UnixMs, most: usize) -> Self {
-        Used { young: HashSet::new(), old: HashSet::new(), turned: UnixMs::NEG_INFINITY, window, most }
+        ReplayCache { young: HashSet::new(), old: HashSet::new(), turned: UnixMs::NEG_INFINITY, window, most }
     }
 
-    pub fn enter(&mut self, mark: Mark, now: UnixMs) -> Use {
+    pub fn check_and_insert(&mut self, mark: ProofDigest, now: UnixMs) -> ReplayCheck {
         if now - self.turned >= self.window {
             self.old = std::mem::take(&mut self.young);
             if now - self.turned >= 2.0 * self.window {
@@ -44,12 +44,12 @@
             self.turned = now;
         }
         if self.young.contains(&mark) || self.old.contains(&mark) {
-            Use::Again
+            ReplayCheck::Replayed
         } else if self.young.len() >= self.most {
-            Use::NoRoom
+            ReplayCheck::CacheFull
         } else {
             self.young.insert(mark);
-            Use::First
+            ReplayCheck::FirstUse
         }
     }
 
@@ -73,19 +73,19 @@
         /// is called used that was not, and memory stays within two generations.
         #[test]
         fn never_twice_within_a_window(steps in prop::collection::vec((0u8..30, 0.0..40.0f64), 1..200)) {
-            let mut used = Used::new(100.0, 10);
+            let mut used = ReplayCache::new(100.0, 10);
             let mut seen: HashMap<u8, f64> = HashMap::new();
             let mut now = 0.0;
             for (id, wait) in steps {
                 now += wait;
                 let mark = [id; 16];
-                match used.enter(mark, now) {
-                    Use::First => {
+                match used.check_and_insert(mark, now) {
+                    ReplayCheck::FirstUse => {
                         let before = seen.insert(id, now);
                         prop_assert!(before.is_none_or(|t| now - t >= 100.0), "let in twice: {id} {before:?} {now}");
                     }
-                    Use::Again => prop_assert!(seen[&id] > now - 300.0),
-                    Use::NoRoom => prop_assert!(used.len() >= 10),
+                    ReplayCheck::Replayed => prop_assert!(seen[&id] > now - 300.0),
+                    ReplayCheck::CacheFull => prop_assert!(used.len() >= 10),
                 }
                 prop_assert!(used.len() <= 20);
             }
@@ -94,11 +94,11 @@
 
     #[test]
     fn beyond_the_most_nothing_is_forgotten() {
-        let mut used = Used::new(100.0, 2);
-        assert_eq!(used.enter([1; 16], 0.0), Use::First);
-        assert_eq!(used.enter([2; 16], 0.0), Use::First);
-        assert_eq!(used.enter([3; 16], 0.0), Use::NoRoom);
-        assert_eq!(used.enter([1; 16], 99.0), Use::Again);
-        assert_eq!(used.enter([3; 16], 100.0), Use::First);
+        let mut used = ReplayCache::new(100.0, 2);
+        assert_eq!(used.check_and_insert([1; 16], 0.0), ReplayCheck::FirstUse);
+        assert_eq!(used.check_and_insert([2; 16], 0.0), ReplayCheck::FirstUse);
+        assert_eq!(used.check_and_insert([3; 16], 0.0), ReplayCheck::CacheFull);
+        assert_eq!(used.check_and_insert([1; 16], 99.0), ReplayCheck::Replayed);
+        assert_eq!(used.check_and_insert([3; 16], 100.0), ReplayCheck::FirstUse);
     }
 }
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use walnutline_control::rtsp::{self, Ask, Message, Reader};
 use walnutline_dash::{token, VerifyingKey};
-use walnutline_gate::keys::Miss;
+use walnutline_gate::keys::KeyLookupError;
 
 /// A session for which no segment is asked in this time is over.
 const UNWATCHED: f64 = 4_000.0;
@@ -277,12 +277,12 @@
     fn front_of(&self, token: &str, session: u64) -> Option<u32> {
         let front = Cell::new(None);
         let claims = token::open_session(token, |id| {
-            let (no, key) = self.common.front_keys.get(id).ok_or(Miss::Unknown)?;
+            let (no, key) = self.common.front_keys.get(id).ok_or(KeyLookupError::Unknown)?;
             front.set(Some(*no));
             Ok(*key)
         });
         let good = |c: &walnutline_gate::claims::SessionClaims| {
-            c.session == session && c.server == self.server && c.expires > self.common.depot.seen.now()
+            c.session == session && c.server == self.server && c.expires_at > self.common.depot.seen.now()
         };
         claims.ok().filter(good).and(front.get())
     }
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
-use walnutline_gate::claims::{Claims, Proof};
+use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Habits, from the briefs' ranges: how many come again after a break or busy reply, and when; how often; how
 /// many leave before their answer; the share under which a viewer begins to leave.
@@ -126,15 +126,15 @@
         let group = self.pick_group(&mut rng);
         let mut length = rng.random_range(self.sessions.0..=self.sessions.1);
         let title = &self.titles[title];
-        let claims = Claims {
+        let claims = ViewerClaims {
             id: viewer.to_be_bytes().to_vec(),
-            path: format!("/m/{}.mpd", title.name),
-            group: group.name.clone(),
+            manifest_path: format!("/m/{}.mpd", title.name),
+            service_group: group.name.clone(),
             holders: title.holders.clone(),
-            top: None,
+            max_rung: None,
             tenant: None,
             not_before: None,
-            expires: self.seen.now() + 600_000.0,
+            expires_at: self.seen.now() + 600_000.0,
             viewer_key: key.verifying_key().to_bytes(),
         };
         let token = token::mint(&claims, &self.key_id, &self.issuer);
@@ -164,7 +164,7 @@
     fn try_once(
         &self,
         viewer: u64,
-        claims: &Claims,
+        claims: &ViewerClaims,
         group: &GroupTerms,
         token: &str,
         key: &SigningKey,
@@ -181,26 +181,26 @@
         let Ok(mut stream) = Timed::connect(address) else {
             return End::Again(0.0);
         };
-        let url = format!("http://{address}{}", claims.path);
-        let made = Proof {
-            key: claims.viewer_key,
+        let url = format!("http://{address}{}", claims.manifest_path);
+        let made = ProofClaims {
+            public_key: claims.viewer_key,
             id: to_base64(&rng.random::<[u8; 12]>()),
             method: "GET".into(),
             url,
-            issued: self.seen.now(),
+            issued_at: self.seen.now(),
             token_hash: token_hash(token),
         };
         let proof = proof::mint(&made, key);
         let req = self.reqs.fetch_add(1, Ordering::SeqCst);
         let text = format!(
             "GET {} HTTP/1.1\r\nHost: {address}\r\nCTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n",
-            claims.path
+            claims.manifest_path
         );
         let asked = Seen::Asked {
             viewer,
             req,
             front: *front,
-            title: claims.path.clone(),
+            title: claims.manifest_path.clone(),
             group: group.name.clone(),
             wait: group.patience,
         };
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -10,8 +10,8 @@
 use walnutline_catalogue::news::Price;
 use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
-use walnutline_gate::keys::{Entry, Ring};
-use walnutline_gate::verdict::Admission;
+use walnutline_gate::authorization::AuthorizationPolicy;
+use walnutline_gate::keys::{KeyEntry, KeySet};
 use walnutline_gate::UnixMs;
 
 /// Faults by their place in the text.
@@ -165,9 +165,9 @@
         },
         rates: c.rates.unwrap_or(true),
     });
-    let admission = Admission {
-        proof_age: f.time(d.tokens.proof_age, "proof-age"),
-        clock_skew: f.within(d.tokens.clock_skew, "clock-skew", 0.0, 3_600_000.0),
+    let admission = AuthorizationPolicy {
+        max_proof_age_ms: f.time(d.tokens.proof_age, "proof-age"),
+        clock_skew_ms: f.within(d.tokens.clock_skew, "clock-skew", 0.0, 3_600_000.0),
     };
     let proofs = f.whole(d.tokens.proofs, "proofs", 1.0, 1e8) as usize;
     let point =
@@ -263,7 +263,7 @@
     folder: &Path,
     f: &mut Faults,
     read: impl Fn(&[u8; 32]) -> Result<K, String>,
-) -> Option<Ring<K>> {
+) -> Option<KeySet<K>> {
     if keys.is_empty() {
         f.tell(at, format!("{name}: at least one is needed"));
     }
@@ -282,13 +282,18 @@
                 if from >= until {
                     f.tell(k.id.at, format!("{name}: its until is not after its from"));
                 }
-                entries.push(Entry { id: k.id.value.clone().into_bytes(), key, from, until });
+                entries.push(KeyEntry {
+                    id: k.id.value.clone().into_bytes(),
+                    key,
+                    valid_from: from,
+                    valid_until: until,
+                });
             }
             (Err(e), ..) => f.tell(k.file.at, format!("{name}: file {}: {e}", path.display())),
             _ => {}
         }
     }
-    match Ring::new(entries) {
+    match KeySet::new(entries) {
         Ok(ring) => Some(ring),
         Err(id) => {
             let id = String::from_utf8_lossy(&id).into_owned();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,8 +12,8 @@
 use walnutline_catalogue::news::Price;
 use walnutline_dash::{SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
-use walnutline_gate::keys::Ring;
-use walnutline_gate::verdict::Admission;
+use walnutline_gate::authorization::AuthorizationPolicy;
+use walnutline_gate::keys::KeySet;
 
 /// All that one front is told at its start.
 pub struct Deployment {
@@ -30,16 +30,16 @@
     /// Service groups by name, in the order of the terms, with the time that viewers wait.
     pub groups: Vec<(String, Ms)>,
     pub viewers: ViewerLimits,
-    pub admission: Admission,
+    pub admission: AuthorizationPolicy,
     /// Proofs that are remembered at most within their window.
     pub proofs: usize,
     pub manifest: ManifestTerms,
     /// None: the front has no catalogue.
     pub catalogue: Option<CatalogueTerms>,
     /// Keys that viewers' tokens are signed with.
-    pub issuer: Ring<VerifyingKey>,
+    pub issuer: KeySet<VerifyingKey>,
     /// Keys that sessions' tokens are signed with.
-    pub session: Ring<SigningKey>,
+    pub session: KeySet<SigningKey>,
 }
 
 /// Limits on viewers' connections. What happens at each stands in docs/operate/front.md.
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -58,7 +58,7 @@
     assert_eq!(d.terms.budget.map(|b| b.free), Some(5.0));
     assert!(d.terms.probe_fed && d.terms.come_back.is_some());
     assert_eq!(d.list_path, "/boxes");
-    assert!(d.session.signer(1.9e12).is_some() && d.session.signer(2e12).is_none());
+    assert!(d.session.signing_key(1.9e12).is_some() && d.session.signing_key(2e12).is_none());
 }
 
 #[test]
