--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use walnutline_control::list::{Line, State};
 use walnutline_control::rtsp::{self, Ask, Message, Reader};
-use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
+use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, SessionClaims, ViewerClaims};
 use walnutline_rehearsal::boxes::{self, Common};
 use walnutline_rehearsal::deployment::{self, Folder};
@@ -112,8 +112,8 @@
         let mut kind = deployment::kind(&script);
         (kind.streams, kind.link_kb, kind.uplink_kb) = (1_000_000, 1e10, 1e11);
         let (issuer, key) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[2; 32]));
-        folder.write("k1.pub", &to_base64(issuer.verifying_key().as_bytes()))?;
-        folder.write("f0.secret", &to_base64(key.as_bytes()))?;
+        folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
+        folder.write("f0.secret", &encode_base64url(key.as_bytes()))?;
         let (listing, list) = Listing::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
         // The terms' limits stay; only what a depot carries is out of the way.
         let document = deployment::document(&script, &kind, &deployment::terms(), list, 0);
@@ -232,8 +232,12 @@
         let request = |no: u32, n: u32| {
             let session = u64::from(no) << 32 | u64::from(n);
             let path = format!("/s/{session}/");
-            let claims =
-                SessionClaims { session, server: server.server, path, expires_at: now() + 600_000.0 };
+            let claims = SessionClaims {
+                session,
+                server: server.server,
+                path_prefix: path,
+                expires_at: now() + 600_000.0,
+            };
             let ask = Ask::Setup {
                 title: "bench".into(),
                 group: "council-notice".into(),
@@ -353,23 +357,23 @@
         token_hash: token_hash(&text),
     };
     let proof_text = proof::mint(&made, &viewer);
-    let session = SessionClaims { session: 1, server: 1, path: "/s/1/".into(), expires_at: 2e12 };
-    let told = mpd::Told {
+    let session = SessionClaims { session: 1, server: 1, path_prefix: "/s/1/".into(), expires_at: 2e12 };
+    let told = mpd::ManifestParams {
         title: "bench",
         base_url: "http://127.0.0.1:9/s/1/token/".into(),
         location: "http://127.0.0.1:8/s/1.mpd".into(),
-        started: 1e12,
-        published: 1e12,
-        update_period: 2_000.0,
-        segment: 500.0,
+        started_at_ms: 1e12,
+        published_at_ms: 1e12,
+        update_period_ms: 2_000.0,
+        segment_duration_ms: 500.0,
         rungs: vec![(0, 200.0), (1, 400.0), (2, 700.0), (3, 1_200.0)],
     };
     let key = issuer.verifying_key();
     println!("parts, us each:");
-    time("check the viewer's token", || token::open(&text, |_| Ok(key)).is_ok());
-    time("check its proof", || proof::open(&proof_text).is_ok());
+    time("check the viewer's token", || token::verify(&text, |_| Ok(key)).is_ok());
+    time("check its proof", || proof::verify(&proof_text).is_ok());
     time("sign the session's token", || !token::mint_session(&session, b"f", &viewer).is_empty());
-    time("write the manifest", || mpd::write(&told).is_ok());
+    time("write the manifest", || mpd::to_xml(&told).is_ok());
     Ok(())
 }
 
--- a/crates/cli/src/token.rs
+++ b/crates/cli/src/token.rs
@@ -1,7 +1,7 @@
 //! `walnutline token`: keys and tokens, for the publisher of notices and for trying a front by hand.
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
-use walnutline_dash::{from_base64, proof, to_base64, token, token_hash, SigningKey};
+use walnutline_dash::{decode_base64url, encode_base64url, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 #[derive(clap::Subcommand)]
@@ -48,8 +48,8 @@
     match command {
         Command::Key { name } => {
             let key = SigningKey::from_bytes(&random()?);
-            write(&name.with_extension("secret"), &to_base64(key.as_bytes()), 0o600)?;
-            write(&name.with_extension("pub"), &to_base64(key.verifying_key().as_bytes()), 0o644)
+            write(&name.with_extension("secret"), &encode_base64url(key.as_bytes()), 0o600)?;
+            write(&name.with_extension("pub"), &encode_base64url(key.verifying_key().as_bytes()), 0o644)
         }
         Command::Mint { issuer, key_id, viewer, title, group, holders, lasts } => {
             let path = percent_encoding::utf8_percent_encode(&title, percent_encoding::NON_ALPHANUMERIC);
@@ -71,7 +71,7 @@
             let key = SigningKey::from_bytes(&read(&viewer)?);
             let proof = ProofClaims {
                 public_key: key.verifying_key().to_bytes(),
-                id: to_base64(&random()?[..16]),
+                id: encode_base64url(&random()?[..16]),
                 method: "GET".into(),
                 url,
                 issued_at: now,
@@ -91,7 +91,7 @@
 
 fn read(file: &Path) -> Result<[u8; 32], String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let bytes = from_base64(text.trim()).map_err(|e| format!("{}: {e}", file.display()))?;
+    let bytes = decode_base64url(text.trim()).map_err(|e| format!("{}: {e}", file.display()))?;
     bytes.try_into().map_err(|_| format!("{}: not 32 bytes of key", file.display()))
 }
 
--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -79,7 +79,7 @@
 
 fn rate(front: &Front, phone: &Phone, name: &str) -> u64 {
     let mpd = phone.asks(front.address, name, &[0, 1]).manifest();
-    mpd.period.set.representations[0].bandwidth / 8_000
+    mpd.period.adaptation_set.representations[0].bandwidth / 8_000
 }
 
 fn walnutline(args: &[&str]) -> Output {
--- a/crates/cli/tests/path.rs
+++ b/crates/cli/tests/path.rs
@@ -48,8 +48,8 @@
     let answer = Phone::new(10).asks(p.front.address, "water", &[1]);
     let mpd = answer.manifest();
     assert_eq!(answer.server(), 1, "the request's own list");
-    assert_eq!(mpd.kind, "dynamic");
-    let rungs: Vec<&str> = mpd.period.set.representations.iter().map(|r| r.id.as_str()).collect();
+    assert_eq!(mpd.presentation_type, "dynamic");
+    let rungs: Vec<&str> = mpd.period.adaptation_set.representations.iter().map(|r| r.id.as_str()).collect();
     assert_eq!(rungs, ["0", "1"]);
     // The token in the manifest is the one that the box was given, and is good for it alone.
     let session = p.last_session();
@@ -58,7 +58,7 @@
     let Saw::Setup { token, .. } = saw else { panic!() };
     assert!(mpd.base_url.contains(&token));
     let key = walnutline_dash::SigningKey::from_bytes(&[2; 32]).verifying_key();
-    let claims = token::open_session(&token, |_| Ok(key)).unwrap();
+    let claims = token::verify_session(&token, |_| Ok(key)).unwrap();
     assert_eq!((claims.session, claims.server), (session, 1));
     // Its location gives the manifest anew; with another session's token it does not.
     let path = mpd.location.split_once("/s/").unwrap().1;
@@ -342,7 +342,7 @@
     assert_eq!(by_new().body.trim(), "unknown-key");
     let file = p.front.folder.join("f.kdl");
     let text = std::fs::read_to_string(&file).unwrap();
-    let key = walnutline_dash::to_base64(next.verifying_key().as_bytes());
+    let key = walnutline_dash::encode_base64url(next.verifying_key().as_bytes());
     std::fs::write(p.front.folder.join("k2.pub"), key).unwrap();
     let line = "    issuer-key \"k1\" file=\"k1.pub\"\n";
     let both = text.replace(line, &format!("{line}    issuer-key \"k2\" file=\"k2.pub\"\n"));
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use walnutline_control::events::{self, Event};
 use walnutline_control::list::{self, Line, List, State};
 use walnutline_control::rtsp::{self, Ask, Message, Reader};
-use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
+use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Longest that anything here is waited for.
@@ -275,8 +275,8 @@
         let folder = std::env::temp_dir().join(format!("walnutline-path-{}-{unique}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).unwrap();
-        write("k1.pub", &to_base64(issuer().verifying_key().as_bytes()));
-        write("f1.secret", &to_base64(&[2; 32]));
+        write("k1.pub", &encode_base64url(issuer().verifying_key().as_bytes()));
+        write("f1.secret", &encode_base64url(&[2; 32]));
         write("f.kdl", document);
         let at = folder.join("address");
         let mut child = Command::new(env!("CARGO_BIN_EXE_walnutline"))
@@ -393,7 +393,7 @@
 impl Answer {
     pub fn manifest(&self) -> mpd::Mpd {
         assert_eq!(self.status, 200, "{self:?}");
-        mpd::read(&self.body).unwrap()
+        mpd::from_xml(&self.body).unwrap()
     }
 
     /// The box that the manifest names.
--- a/crates/dash/src/lib.rs
+++ b/crates/dash/src/lib.rs
@@ -14,11 +14,11 @@
 use sha2::{Digest, Sha256};
 
 /// Base64url without padding (RFC 4648), as tokens and proofs are sent.
-pub fn to_base64(bytes: &[u8]) -> String {
+pub fn encode_base64url(bytes: &[u8]) -> String {
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-pub fn from_base64(text: &str) -> Result<Vec<u8>, String> {
+pub fn decode_base64url(text: &str) -> Result<Vec<u8>, String> {
     URL_SAFE_NO_PAD.decode(text).map_err(|e| format!("base64url: {e}"))
 }
 
@@ -28,7 +28,7 @@
 }
 
 /// What a used proof is remembered by: its key and its id.
-pub fn proof_mark(key: &[u8; 32], id: &str) -> [u8; 16] {
+pub fn proof_digest(key: &[u8; 32], id: &str) -> [u8; 16] {
     let whole = Sha256::new().chain_update(key).chain_update(id.as_bytes()).finalize();
     let mut mark = [0; 16];
     mark.copy_from_slice(&whole[..16]);
--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -11,9 +11,9 @@
     #[serde(rename = "@profiles")]
     pub profiles: String,
     #[serde(rename = "@type")]
-    pub kind: String,
+    pub presentation_type: String,
     #[serde(rename = "@availabilityStartTime")]
-    pub availability_start: String,
+    pub availability_start_time: String,
     #[serde(rename = "@publishTime")]
     pub publish_time: String,
     #[serde(rename = "@minimumUpdatePeriod")]
@@ -35,7 +35,7 @@
     #[serde(rename = "@start")]
     pub start: String,
     #[serde(rename = "AdaptationSet")]
-    pub set: AdaptationSet,
+    pub adaptation_set: AdaptationSet,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     #[serde(rename = "@segmentAlignment")]
     pub segment_alignment: bool,
     #[serde(rename = "SegmentTemplate")]
-    pub template: SegmentTemplate,
+    pub segment_template: SegmentTemplate,
     #[serde(rename = "Representation")]
     pub representations: Vec<Representation>,
 }
@@ -74,21 +74,21 @@
 
 /// What a manifest tells; times in milliseconds.
 #[derive(Debug, Clone)]
-pub struct Told<'a> {
+pub struct ManifestParams<'a> {
     pub title: &'a str,
     /// Where the segments stand, ending in a slash.
     pub base_url: String,
     /// Where the renewed manifest is fetched.
     pub location: String,
-    pub started: f64,
-    pub published: f64,
-    pub update_period: f64,
-    pub segment: f64,
+    pub started_at_ms: f64,
+    pub published_at_ms: f64,
+    pub update_period_ms: f64,
+    pub segment_duration_ms: f64,
     /// The rungs in force with their rates in kB a second, ascending.
     pub rungs: Vec<(u8, f64)>,
 }
 
-pub fn write(told: &Told) -> Result<String, String> {
+pub fn to_xml(told: &ManifestParams) -> Result<String, String> {
     let representation = |(rung, kb): &(u8, f64)| Representation {
         id: rung.to_string(),
         bandwidth: (kb * 8_000.0).round() as u64,
@@ -96,23 +96,23 @@
     let mpd = Mpd {
         xmlns: "urn:mpeg:dash:schema:mpd:2011".into(),
         profiles: "urn:mpeg:dash:profile:isoff-live:2011".into(),
-        kind: "dynamic".into(),
-        availability_start: date_time(told.started),
-        publish_time: date_time(told.published),
-        minimum_update_period: duration(told.update_period),
-        min_buffer_time: duration(told.segment),
+        presentation_type: "dynamic".into(),
+        availability_start_time: date_time(told.started_at_ms),
+        publish_time: date_time(told.published_at_ms),
+        minimum_update_period: duration(told.update_period_ms),
+        min_buffer_time: duration(told.segment_duration_ms),
         location: told.location.clone(),
         base_url: told.base_url.clone(),
         period: Period {
             id: told.title.into(),
             start: "PT0S".into(),
-            set: AdaptationSet {
+            adaptation_set: AdaptationSet {
                 mime_type: "video/mp4".into(),
                 segment_alignment: true,
-                template: SegmentTemplate {
+                segment_template: SegmentTemplate {
                     media: "$RepresentationID$/$Number$.m4s".into(),
                     timescale: 1_000,
-                    duration: told.segment.round() as u32,
+                    duration: told.segment_duration_ms.round() as u32,
                     start_number: 1,
                 },
                 representations: told.rungs.iter().map(representation).collect(),
@@ -123,7 +123,7 @@
     Ok(format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{xml}\n"))
 }
 
-pub fn read(xml: &str) -> Result<Mpd, String> {
+pub fn from_xml(xml: &str) -> Result<Mpd, String> {
     quick_xml::de::from_str(xml).map_err(|e| format!("MPD: {e}"))
 }
 
@@ -132,7 +132,7 @@
     format!("PT{}S", ms / 1_000.0)
 }
 
-/// The milliseconds of a length of time as [`write`] writes it.
+/// The milliseconds of a length of time as [`to_xml`] writes it.
 pub fn read_duration(text: &str) -> Option<f64> {
     let seconds: f64 = text.strip_prefix("PT")?.strip_suffix('S')?.parse().ok()?;
     Some(seconds * 1_000.0)
@@ -150,33 +150,33 @@
 
     #[test]
     fn what_was_written_is_read_back() {
-        let told = Told {
+        let told = ManifestParams {
             title: "water <&> outage \"7\"",
             base_url: "http://127.0.0.1:9/s/a&b/".into(),
             location: "http://127.0.0.1:8/s/5.mpd?a=1&b=2".into(),
-            started: 951_868_799_000.0,
-            published: 1_700_000_000_123.0,
-            update_period: 2_000.0,
-            segment: 500.0,
+            started_at_ms: 951_868_799_000.0,
+            published_at_ms: 1_700_000_000_123.0,
+            update_period_ms: 2_000.0,
+            segment_duration_ms: 500.0,
             rungs: vec![(0, 100.0), (1, 250.5)],
         };
-        let mpd = read(&write(&told).unwrap()).unwrap();
+        let mpd = from_xml(&to_xml(&told).unwrap()).unwrap();
         assert_eq!(mpd.base_url, told.base_url);
         assert_eq!(mpd.location, told.location);
         assert_eq!(mpd.period.id, told.title);
-        assert_eq!(mpd.kind, "dynamic");
-        assert_eq!(mpd.availability_start, "2000-02-29T23:59:59.000Z");
+        assert_eq!(mpd.presentation_type, "dynamic");
+        assert_eq!(mpd.availability_start_time, "2000-02-29T23:59:59.000Z");
         assert_eq!(mpd.publish_time, "2023-11-14T22:13:20.123Z");
         assert_eq!(read_duration(&mpd.minimum_update_period), Some(2_000.0));
         let reps: Vec<_> =
-            mpd.period.set.representations.iter().map(|r| (r.id.as_str(), r.bandwidth)).collect();
+            mpd.period.adaptation_set.representations.iter().map(|r| (r.id.as_str(), r.bandwidth)).collect();
         assert_eq!(reps, [("0", 800_000), ("1", 2_004_000)]);
     }
 
     #[test]
     fn what_is_no_manifest_is_an_error() {
         for xml in ["", "<MPD/>", "<MPD", "<a><b></a>", "\u{0}"] {
-            assert!(read(xml).is_err(), "{xml:?}");
+            assert!(from_xml(xml).is_err(), "{xml:?}");
         }
     }
 }
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -2,7 +2,7 @@
 //! sent as base64url. Claims by their registered numbers; the service group, the holders, the highest rung and
 //! the tenant stand under numbers for private use (below -65536). A token with a claim of the CAT range
 //! that is not read here is malformed: such a claim narrows the leave, and to pass over it would widen it.
-use crate::{from_base64, to_base64};
+use crate::{decode_base64url, encode_base64url};
 use ciborium::Value;
 use coset::{iana, CborSerializable, CoseSign1, CoseSign1Builder, HeaderBuilder, TaggedCborSerializable};
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
@@ -12,7 +12,7 @@
 use walnutline_gate::UnixMs;
 
 /// Longest token that is looked at, in characters.
-pub const LONGEST: usize = 2_048;
+pub const MAX_TOKEN_BYTES: usize = 2_048;
 /// Deepest nesting of arrays, maps and tags that is looked at: a token needs six.
 const DEEPEST: usize = 12;
 
@@ -70,7 +70,7 @@
         (AUD.into(), claims.server.to_string().into()),
         (EXP.into(), seconds(claims.expires_at)),
         (CATV.into(), 1.into()),
-        (CATU.into(), path_claim(MATCH_PREFIX, &claims.path)),
+        (CATU.into(), path_claim(MATCH_PREFIX, &claims.path_prefix)),
     ];
     sign(map, key_id, key)
 }
@@ -93,31 +93,31 @@
         .payload(payload)
         .create_signature(b"", |bytes| key.sign(bytes).to_bytes().to_vec())
         .build();
-    to_base64(&signed.to_tagged_vec().expect("a message of plain values"))
+    encode_base64url(&signed.to_tagged_vec().expect("a message of plain values"))
 }
 
 /// Reads a viewer's token and checks its signature by the key that it names.
-pub fn open(
+pub fn verify(
     token: &str,
     key: impl Fn(&[u8]) -> Result<VerifyingKey, KeyLookupError>,
 ) -> Result<ViewerClaims, Refusal> {
-    let map = verified(token, key)?;
+    let map = verified_claims(token, key)?;
     let claims = read(&map).map_err(Refusal::TokenMalformed)?;
     Ok(claims)
 }
 
 /// Reads a session's token likewise.
-pub fn open_session(
+pub fn verify_session(
     token: &str,
     key: impl Fn(&[u8]) -> Result<VerifyingKey, KeyLookupError>,
 ) -> Result<SessionClaims, Refusal> {
-    let map = verified(token, key)?;
+    let map = verified_claims(token, key)?;
     read_session(&map).map_err(Refusal::TokenMalformed)
 }
 
 /// What a session's token says, unchecked: for those who hold no key and give no leave by it.
-pub fn peek_session(token: &str) -> Option<SessionClaims> {
-    let bytes = from_base64(token).ok()?;
+pub fn decode_session_unverified(token: &str) -> Option<SessionClaims> {
+    let bytes = decode_base64url(token).ok()?;
     nested_at_most(&bytes, DEEPEST).ok()?;
     let payload = CoseSign1::from_tagged_slice(&bytes).ok()?.payload?;
     nested_at_most(&payload, DEEPEST).ok()?;
@@ -127,15 +127,15 @@
     }
 }
 
-fn verified(
+fn verified_claims(
     token: &str,
     key: impl Fn(&[u8]) -> Result<VerifyingKey, KeyLookupError>,
 ) -> Result<Vec<(Value, Value)>, Refusal> {
-    if token.len() > LONGEST {
+    if token.len() > MAX_TOKEN_BYTES {
         return Err(Refusal::TokenTooLong);
     }
     let bad = |e: String| Refusal::TokenMalformed(e);
-    let bytes = from_base64(token).map_err(bad)?;
+    let bytes = decode_base64url(token).map_err(bad)?;
     nested_at_most(&bytes, DEEPEST).map_err(bad)?;
     let signed = CoseSign1::from_tagged_slice(&bytes).map_err(|e| bad(format!("COSE_Sign1: {e}")))?;
     let alg = Some(coset::Algorithm::Assigned(iana::Algorithm::EdDSA));
@@ -196,7 +196,7 @@
     Ok(SessionClaims {
         session: text(SUB, "sub")?,
         server: u32::try_from(text(AUD, "aud")?).map_err(|_| "aud: not a box's number")?,
-        path: path(map, MATCH_PREFIX)?,
+        path_prefix: path(map, MATCH_PREFIX)?,
         expires_at: time(at(map, EXP)?, "exp")?,
     })
 }
--- a/crates/dash/src/token/tests.rs
+++ b/crates/dash/src/token/tests.rs
@@ -29,37 +29,38 @@
 
 #[test]
 fn what_was_minted_is_read_back() {
-    assert_eq!(open(&mint(&claims(), b"k1", &key(1)), by_id), Ok(claims()));
-    let session = SessionClaims { session: u64::MAX, server: 7, path: "/s/1/".into(), expires_at: 2_000.0 };
-    assert_eq!(open_session(&mint_session(&session, b"k1", &key(1)), by_id), Ok(session));
+    assert_eq!(verify(&mint(&claims(), b"k1", &key(1)), by_id), Ok(claims()));
+    let session =
+        SessionClaims { session: u64::MAX, server: 7, path_prefix: "/s/1/".into(), expires_at: 2_000.0 };
+    assert_eq!(verify_session(&mint_session(&session, b"k1", &key(1)), by_id), Ok(session));
 }
 
 #[test]
 fn keys_and_signatures_are_told_apart() {
-    assert_eq!(open(&mint(&claims(), b"k2", &key(1)), by_id), Err(Refusal::UnknownKey));
-    assert_eq!(open(&mint(&claims(), b"k1", &key(2)), by_id), Err(Refusal::BadSignature));
-    assert_eq!(open(&"A".repeat(LONGEST + 1), by_id), Err(Refusal::TokenTooLong));
+    assert_eq!(verify(&mint(&claims(), b"k2", &key(1)), by_id), Err(Refusal::UnknownKey));
+    assert_eq!(verify(&mint(&claims(), b"k1", &key(2)), by_id), Err(Refusal::BadSignature));
+    assert_eq!(verify(&"A".repeat(MAX_TOKEN_BYTES + 1), by_id), Err(Refusal::TokenTooLong));
 }
 
 #[test]
 fn any_changed_byte_is_refused() {
-    let bytes = from_base64(&mint(&claims(), b"k1", &key(1))).unwrap();
+    let bytes = decode_base64url(&mint(&claims(), b"k1", &key(1))).unwrap();
     for at in 0..bytes.len() {
         for bit in [1, 0x80] {
             let mut changed = bytes.clone();
             changed[at] ^= bit;
-            assert!(open(&to_base64(&changed), by_id).is_err(), "byte {at} bit {bit}");
+            assert!(verify(&encode_base64url(&changed), by_id).is_err(), "byte {at} bit {bit}");
         }
     }
 }
 
 fn signed(map: Vec<(Value, Value)>) -> Result<ViewerClaims, Refusal> {
-    open(&sign(map, b"k1", &key(1)), by_id)
+    verify(&sign(map, b"k1", &key(1)), by_id)
 }
 
 #[test]
 fn what_narrows_the_leave_and_is_not_understood_is_refused() {
-    let bytes = from_base64(&mint(&claims(), b"k1", &key(1))).unwrap();
+    let bytes = decode_base64url(&mint(&claims(), b"k1", &key(1))).unwrap();
     let payload = CoseSign1::from_tagged_slice(&bytes).unwrap().payload.unwrap();
     let Value::Map(map) = Value::from_slice(&payload).unwrap() else { panic!() };
     assert!(signed(map.clone()).is_ok());
@@ -79,15 +80,15 @@
     for head in [0x81u8, 0xa1, 0xc1, 0x9f, 0x5f] {
         let deep = vec![head; 1_500];
         assert!(nested_at_most(&deep, DEEPEST).is_err(), "{head:x}");
-        assert!(matches!(open(&to_base64(&deep), by_id), Err(Refusal::TokenMalformed(_))));
+        assert!(matches!(verify(&encode_base64url(&deep), by_id), Err(Refusal::TokenMalformed(_))));
     }
 }
 
 proptest! {
     #[test]
     fn rubbish_is_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        prop_assert!(open(&to_base64(&bytes), by_id).is_err());
-        prop_assert!(open(&String::from_utf8_lossy(&bytes), by_id).is_err());
+        prop_assert!(verify(&encode_base64url(&bytes), by_id).is_err());
+        prop_assert!(verify(&String::from_utf8_lossy(&bytes), by_id).is_err());
     }
 
     /// The walk over heads agrees with the reader on what the reader takes.
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -43,20 +43,20 @@
     let in_force = group.floor..=plays.rung.max(group.floor);
     let ladder = ticket.rates.as_deref().unwrap_or(&shared.ladder);
     let rate = |rung: u8| Some((rung, ladder.get(rung as usize)? * group.scale));
-    let told = mpd::Told {
+    let told = mpd::ManifestParams {
         title: &ticket.title,
         base_url: format!("{}/s/{}/{token}/", plays.media, ticket.id.0),
         location: format!("{}/s/{}.mpd?CAT={token}", shared.public_url, ticket.id.0),
-        started: ticket.at,
-        published: now,
-        update_period: shared.manifest.update,
-        segment: shared.manifest.segment,
+        started_at_ms: ticket.at,
+        published_at_ms: now,
+        update_period_ms: shared.manifest.update,
+        segment_duration_ms: shared.manifest.segment,
         rungs: in_force.filter_map(rate).collect(),
     };
     Ok(Response {
         status: 200,
         headers: Vec::new(),
-        body: mpd::write(&told)?,
+        body: mpd::to_xml(&told)?,
         content_type: "application/dash+xml",
     })
 }
--- a/crates/front/src/door.rs
+++ b/crates/front/src/door.rs
@@ -1,7 +1,7 @@
 //! Checks a viewer's token and proof by the codecs and asks the gate for its verdict; mints sessions' tokens.
 use arc_swap::ArcSwap;
 use std::sync::Mutex;
-use walnutline_dash::{proof, proof_mark, token, token_hash, SigningKey, VerifyingKey};
+use walnutline_dash::{proof, proof_digest, token, token_hash, SigningKey, VerifyingKey};
 use walnutline_gate::authorization::{AuthorizationPolicy, Refusal, RequestContext};
 use walnutline_gate::claims::{SessionClaims, ViewerClaims};
 use walnutline_gate::keys::KeySet;
@@ -46,11 +46,11 @@
         let hash = token_hash(token);
         let asked = RequestContext { method, path, url, token_hash: &hash };
         let ring = self.issuer.load();
-        let claims = token::open(token, |id| ring.find(id, now).copied())?;
+        let claims = token::verify(token, |id| ring.find(id, now).copied())?;
         self.terms.check_token(&claims, asked, now)?;
-        let proof = proof::open(proof.ok_or(Refusal::NoProof)?)?;
+        let proof = proof::verify(proof.ok_or(Refusal::NoProof)?)?;
         self.terms.check_proof(&claims, &proof, asked, now)?;
-        let mark = proof_mark(&proof.public_key, &proof.id);
+        let mark = proof_digest(&proof.public_key, &proof.id);
         let use_ = self.used.lock().unwrap_or_else(|e| e.into_inner()).check_and_insert(mark, now);
         self.terms.check_first_use(use_)?;
         Ok(claims)
@@ -66,7 +66,7 @@
     /// Checks a session's token that this front gave out itself.
     pub fn own(&self, token: &str, now: f64) -> Result<SessionClaims, Refusal> {
         let ring = self.session.load();
-        let claims = token::open_session(token, |id| ring.find(id, now).map(SigningKey::verifying_key))?;
+        let claims = token::verify_session(token, |id| ring.find(id, now).map(SigningKey::verifying_key))?;
         if now >= claims.expires_at {
             return Err(Refusal::Expired);
         }
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -59,7 +59,7 @@
         let claims = SessionClaims {
             session: self.id.0,
             server: server.0,
-            path: format!("/s/{}/", self.id.0),
+            path_prefix: format!("/s/{}/", self.id.0),
             expires_at: now + shared.manifest.token_lasts,
         };
         let token = shared.door.mint(&claims, now)?;
--- a/crates/front/tests/stack.rs
+++ b/crates/front/tests/stack.rs
@@ -2,7 +2,7 @@
 //! longest proof, a manifest of a long ladder. All of it has to fit a quarter of the daemon's stack, in the
 //! unoptimised build too, which takes more.
 use may::coroutine::Builder;
-use walnutline_dash::{mpd, proof, to_base64, token, SigningKey};
+use walnutline_dash::{encode_base64url, mpd, proof, token, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 use walnutline_gate::keys::KeyLookupError;
 
@@ -25,10 +25,10 @@
     let work = || {
         let (issuer, viewer) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[3; 32]));
         let text = token::mint(&claims(), b"k1", &issuer);
-        token::open(&text, |_| Ok(issuer.verifying_key())).unwrap();
+        token::verify(&text, |_| Ok(issuer.verifying_key())).unwrap();
         for head in [0x81u8, 0xa1, 0xc1, 0x9f, 0x5f] {
-            let deep = to_base64(&vec![head; token::LONGEST * 3 / 4]);
-            assert!(token::open(&deep, |_| Err(KeyLookupError::Unknown)).is_err());
+            let deep = encode_base64url(&vec![head; token::MAX_TOKEN_BYTES * 3 / 4]);
+            assert!(token::verify(&deep, |_| Err(KeyLookupError::Unknown)).is_err());
         }
         let made = ProofClaims {
             public_key: claims().viewer_key,
@@ -38,18 +38,18 @@
             issued_at: 1.0,
             token_hash: [0; 32],
         };
-        proof::open(&proof::mint(&made, &viewer)).unwrap();
-        let told = mpd::Told {
+        proof::verify(&proof::mint(&made, &viewer)).unwrap();
+        let told = mpd::ManifestParams {
             title: "a",
             base_url: "http://b/".into(),
             location: "http://f/".into(),
-            started: 1.0,
-            published: 1.0,
-            update_period: 1.0,
-            segment: 1.0,
+            started_at_ms: 1.0,
+            published_at_ms: 1.0,
+            update_period_ms: 1.0,
+            segment_duration_ms: 1.0,
             rungs: (0..64).map(|r| (r, 100.0)).collect(),
         };
-        mpd::write(&told).unwrap();
+        mpd::to_xml(&told).unwrap();
     };
     let quarter = walnutline_front::STACK_WORDS / 4;
     // An overflow hits the guard page and ends the test's process.
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -28,7 +28,7 @@
     pub session: u64,
     pub server: u32,
     /// Path under which the segments stand (`catu`, path, prefix match).
-    pub path: String,
+    pub path_prefix: String,
     pub expires_at: UnixMs,
 }
 
--- a/crates/rehearsal/src/alone.rs
+++ b/crates/rehearsal/src/alone.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 use walnutline_control::list::{self, Line, List, State};
-use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
+use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
 
 #[derive(clap::Args)]
 pub struct BoxArgs {
@@ -70,7 +70,7 @@
 
 fn key(file: &Path) -> Result<[u8; 32], String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let bytes = from_base64(text.trim()).map_err(|e| format!("{}: {e}", file.display()))?;
+    let bytes = decode_base64url(text.trim()).map_err(|e| format!("{}: {e}", file.display()))?;
     bytes.try_into().map_err(|_| format!("{}: not 32 bytes of key", file.display()))
 }
 
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -276,7 +276,7 @@
     /// Which front signed a session's token, if it is good for this session at this box.
     fn front_of(&self, token: &str, session: u64) -> Option<u32> {
         let front = Cell::new(None);
-        let claims = token::open_session(token, |id| {
+        let claims = token::verify_session(token, |id| {
             let (no, key) = self.common.front_keys.get(id).ok_or(KeyLookupError::Unknown)?;
             front.set(Some(*no));
             Ok(*key)
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use walnutline_control::list::{Line, State};
-use walnutline_dash::{to_base64, SigningKey};
+use walnutline_dash::{encode_base64url, SigningKey};
 
 #[derive(clap::Args)]
 pub struct Args {
@@ -140,13 +140,13 @@
         let mut rng = StdRng::seed_from_u64(script.seed);
         let kind = kind(&script);
         let issuer = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
-        folder.write("k1.pub", &to_base64(issuer.verifying_key().as_bytes()))?;
+        folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
         let mut front_keys = BTreeMap::new();
         let (listing, list) =
             Listing::start(seen.clone(), LIST_DELAY).map_err(|e| format!("the list: {e}"))?;
         for front in 0..script.fronts {
             let key = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
-            folder.write(&format!("f{front}.secret"), &to_base64(key.as_bytes()))?;
+            folder.write(&format!("f{front}.secret"), &encode_base64url(key.as_bytes()))?;
             front_keys.insert(format!("f{front}").into_bytes(), (front, key.verifying_key()));
         }
         let titles: Vec<Title> = (0..TITLES)
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
-use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
+use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Habits, from the briefs' ranges: how many come again after a break or busy reply, and when; how often; how
@@ -184,7 +184,7 @@
         let url = format!("http://{address}{}", claims.manifest_path);
         let made = ProofClaims {
             public_key: claims.viewer_key,
-            id: to_base64(&rng.random::<[u8; 12]>()),
+            id: encode_base64url(&rng.random::<[u8; 12]>()),
             method: "GET".into(),
             url,
             issued_at: self.seen.now(),
@@ -231,7 +231,7 @@
             }
         };
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-        let manifest = (status == 200).then(|| mpd::read(&String::from_utf8_lossy(&body)));
+        let manifest = (status == 200).then(|| mpd::from_xml(&String::from_utf8_lossy(&body)));
         let plays = manifest.and_then(|m| m.map_err(|e| eprintln!("viewer {viewer}: {e}")).ok());
         let session = plays.as_ref().and_then(session_of);
         let server = session.as_ref().and_then(|(_, token)| server_of(token));
@@ -272,7 +272,9 @@
         let mut number = 1;
         while *length > 0.0 {
             let began = self.seen.now();
-            let Some(rep) = plays.period.set.representations.last() else { return End::Again(0.0) };
+            let Some(rep) = plays.period.adaptation_set.representations.last() else {
+                return End::Again(0.0);
+            };
             media.reads_within(self.segment * 10.0);
             let ask = format!("GET {base}{}/{number}.m4s HTTP/1.1\r\nHost: {host}\r\n\r\n", rep.id);
             let got = media.write_all(ask.as_bytes()).and_then(|()| read_head(&mut media, &mut in_buffer));
@@ -312,7 +314,7 @@
     let head = read_head(front, buffer)?.ok_or(ErrorKind::UnexpectedEof)?;
     let body = read_body(front, buffer, &head)?;
     front.reads_freely();
-    Ok(if head.contains(" 200 ") { mpd::read(&String::from_utf8_lossy(&body)).ok() } else { None })
+    Ok(if head.contains(" 200 ") { mpd::from_xml(&String::from_utf8_lossy(&body)).ok() } else { None })
 }
 
 fn split_url(url: &str) -> Option<(SocketAddr, String)> {
@@ -329,5 +331,5 @@
 
 /// The box that a session's token is for, read without a key: a viewer has none.
 fn server_of(token: &str) -> Option<u32> {
-    token::peek_session(token).map(|c| c.server)
+    token::decode_session_unverified(token).map(|c| c.server)
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -8,7 +8,7 @@
     Budget, ColdTerms, Column, Group as TermsGroup, ListWay, Repeat, Scope, Terms, Weights,
 };
 use walnutline_catalogue::news::Price;
-use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
+use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
 use walnutline_gate::authorization::AuthorizationPolicy;
 use walnutline_gate::keys::{KeyEntry, KeySet};
@@ -274,7 +274,7 @@
         let path = folder.join(&k.file.value);
         let key = std::fs::read_to_string(&path)
             .map_err(|e| e.to_string())
-            .and_then(|text| from_base64(text.trim()))
+            .and_then(|text| decode_base64url(text.trim()))
             .and_then(|bytes| <[u8; 32]>::try_from(bytes).map_err(|_| "not 32 bytes".to_owned()))
             .and_then(|bytes| read(&bytes));
         match (key, from, until) {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -34,7 +34,7 @@
     let folder = std::env::temp_dir().join(format!("walnutline-settings-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let key = SigningKey::from_bytes(&[3; 32]);
-    let text = |bytes: &[u8]| walnutline_dash::to_base64(bytes) + "\n";
+    let text = |bytes: &[u8]| walnutline_dash::encode_base64url(bytes) + "\n";
     std::fs::write(folder.join("k1.pub"), text(key.verifying_key().as_bytes())).unwrap();
     std::fs::write(folder.join("f1.secret"), text(key.as_bytes())).unwrap();
     folder
