--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -8,8 +8,8 @@
 use std::process::{Child, Command as Process, Stdio};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use walnutline_control::list::{Line, State};
-use walnutline_control::rtsp::{self, Ask, Message, Reader};
+use walnutline_control::box_list::{BoxEntry, BoxState};
+use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, SessionClaims, ViewerClaims};
 use walnutline_rehearsal::boxes::{self, Common};
@@ -126,17 +126,17 @@
         let mut started = Vec::new();
         for server in 0..BOXES {
             let p = boxes::Process::start(&common, server, false).map_err(|e| format!("box: {e}"))?;
-            let line = Line {
+            let line = BoxEntry {
                 id: server,
                 name: format!("box-{server}"),
-                state: State::Ready,
+                state: BoxState::Ready,
                 rack: server % 3,
                 building: 0,
                 kind: 0,
                 weight: 1.0,
-                started: None,
-                control: p.control,
-                media: format!("http://{}", p.media),
+                started_at_ms: None,
+                control_addr: p.control,
+                media_url: format!("http://{}", p.media),
             };
             listing.change(vec![line]);
             started.push(p);
@@ -229,7 +229,7 @@
 
     fn straight(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
         let server = &self.boxes[0];
-        let request = |no: u32, n: u32| {
+        let encoded_setup = |no: u32, n: u32| {
             let session = u64::from(no) << 32 | u64::from(n);
             let path = format!("/s/{session}/");
             let claims = SessionClaims {
@@ -238,23 +238,23 @@
                 path_prefix: path,
                 expires_at: now() + 600_000.0,
             };
-            let ask = Ask::Setup {
+            let request = ControlRequest::Setup {
                 title: "bench".into(),
-                group: "council-notice".into(),
+                service_group: "council-notice".into(),
                 rung: 0,
                 front_session: session,
                 token: token::mint_session(&claims, b"f0", &self.key),
             };
-            rtsp::write(&Message::Ask { cseq: n + 1, ask }, "127.0.0.1").expect("a plain host")
+            rtsp::encode(&Message::Request { cseq: n + 1, request }, "127.0.0.1").expect("a plain host")
         };
-        load(rate, seconds, connections, server.control, &request, &|stream, rest| {
+        load(rate, seconds, connections, server.control, &encoded_setup, &|stream, rest| {
             let mut bytes = [0; 4_096];
-            let mut reader = Reader::default();
+            let mut reader = MessageReader::default();
             reader.push(&std::mem::take(rest));
             loop {
                 // The box also says when earlier sessions end.
                 while let Some(m) = reader.next_message().map_err(|e| e.to_string())? {
-                    if let Message::Reply { status, .. } = m {
+                    if let Message::Response { status, .. } = m {
                         return if status == 200 { Ok(()) } else { Err(format!("box answered {status}")) };
                     }
                 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use walnutline_control::events::{self, Event};
-use walnutline_control::list::{self, Line, List, State};
-use walnutline_control::rtsp::{self, Ask, Message, Reader};
+use walnutline_control::box_list::{self, BoxEntry, BoxList, BoxState};
+use walnutline_control::event_stream::{self, Event};
+use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
@@ -115,44 +115,44 @@
         *self.does.lock().unwrap() = does;
     }
 
-    pub fn line(&self) -> Line {
-        Line {
+    pub fn line(&self) -> BoxEntry {
+        BoxEntry {
             id: self.id,
             name: format!("box-{}", self.id),
-            state: State::Ready,
+            state: BoxState::Ready,
             rack: self.id % 2,
             building: 0,
             kind: 0,
             weight: 1.0,
-            started: None,
-            control: self.control,
-            media: format!("http://127.0.0.1:1/{}", self.id),
+            started_at_ms: None,
+            control_addr: self.control,
+            media_url: format!("http://127.0.0.1:1/{}", self.id),
         }
     }
 }
 
 fn serve(id: u32, mut stream: TcpStream, does: &Mutex<Does>, log: &BoxLog, dead: &AtomicUsize) {
-    let mut reader = Reader::default();
+    let mut reader = MessageReader::default();
     let mut bytes = [0; 4_096];
     let writer = Arc::new(Mutex::new(stream.try_clone().unwrap()));
-    let say = |m: &Message| drop(writer.lock().unwrap().write_all(&rtsp::write(m, "b").unwrap()));
+    let say = |m: &Message| drop(writer.lock().unwrap().write_all(&rtsp::encode(m, "b").unwrap()));
     while let Ok(n) = stream.read(&mut bytes) {
         if n == 0 {
             return;
         }
         reader.push(&bytes[..n]);
         while let Ok(Some(message)) = reader.next_message() {
-            let Message::Ask { cseq, ask } = message else { continue };
-            let reply = |status| Message::Reply { cseq, status, session: None, figures: Vec::new() };
-            match ask {
-                Ask::Setup { front_session: session, token, rung, .. } => {
+            let Message::Request { cseq, request } = message else { continue };
+            let reply = |status| Message::Response { cseq, status, session: None, parameters: Vec::new() };
+            match request {
+                ControlRequest::Setup { front_session: session, token, rung, .. } => {
                     log.add((id, Saw::Setup { session, token, rung }));
                     let does = *does.lock().unwrap();
-                    let plays = Message::Reply {
+                    let plays = Message::Response {
                         cseq,
                         status: 200,
                         session: Some(format!("s{session}")),
-                        figures: Vec::new(),
+                        parameters: Vec::new(),
                     };
                     let done = |status| log.add((id, Saw::Done { session, status }));
                     match does {
@@ -174,7 +174,7 @@
                             std::thread::spawn(move || {
                                 std::thread::sleep(Duration::from_millis(ms));
                                 log.add((id, Saw::Done { session, status: 200 }));
-                                let _ = writer.lock().unwrap().write_all(&rtsp::write(&plays, "b").unwrap());
+                                let _ = writer.lock().unwrap().write_all(&rtsp::encode(&plays, "b").unwrap());
                             });
                         }
                         Does::Resets | Does::Dies => {}
@@ -189,12 +189,12 @@
                         return;
                     }
                 }
-                Ask::Get(_) => {
+                ControlRequest::GetParameter(_) => {
                     log.add((id, Saw::Probe));
-                    let figures = vec![(rtsp::LINK.to_owned(), 0.1), (rtsp::STREAMS.to_owned(), 1.0)];
-                    say(&Message::Reply { cseq, status: 200, session: None, figures });
+                    let parameters = vec![(rtsp::LINK_USE.to_owned(), 0.1), (rtsp::STREAMS.to_owned(), 1.0)];
+                    say(&Message::Response { cseq, status: 200, session: None, parameters });
                 }
-                Ask::Teardown { session } => {
+                ControlRequest::Teardown { session } => {
                     log.add((id, Saw::Teardown { session }));
                     say(&reply(200));
                 }
@@ -208,9 +208,9 @@
 pub fn list_of(boxes: &[&TestBox]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let data = list::write(&List { boxes: boxes.iter().map(|b| b.line()).collect() });
-    let event = Event { id: Some(1), name: list::WHOLE.into(), data };
-    let text = format!("HTTP/1.0 200 OK\r\n\r\n{}", events::write(&event));
+    let data = box_list::to_json(&BoxList { boxes: boxes.iter().map(|b| b.line()).collect() });
+    let event = Event { id: Some(1), name: box_list::FULL_LIST_EVENT.into(), data };
+    let text = format!("HTTP/1.0 200 OK\r\n\r\n{}", event_stream::encode(&event));
     std::thread::spawn(move || {
         let mut open = Vec::new();
         while let Ok((mut stream, _)) = listener.accept() {
--- a/crates/control/src/list.rs
+++ b/crates/control/src/box_list.rs
@@ -3,17 +3,17 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-pub const WHOLE: &str = "whole";
-pub const CHANGES: &str = "changes";
+pub const FULL_LIST_EVENT: &str = "whole";
+pub const CHANGES_EVENT: &str = "changes";
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct List {
-    pub boxes: Vec<Line>,
+pub struct BoxList {
+    pub boxes: Vec<BoxEntry>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum BoxState {
     Ready,
     Draining,
     Gone,
@@ -21,11 +21,11 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Line {
+pub struct BoxEntry {
     /// The same at every front, and in requests.
     pub id: u32,
     pub name: String,
-    pub state: State,
+    pub state: BoxState,
     pub rack: u32,
     /// Position of its building in the settings.
     pub building: u8,
@@ -34,16 +34,19 @@
     /// Size of its link, in units of the settings' `link-kb`.
     pub weight: f64,
     /// When its process started, in Unix milliseconds, where that was not long ago.
-    pub started: Option<f64>,
+    #[serde(rename = "started")]
+    pub started_at_ms: Option<f64>,
     /// Where it is controlled.
-    pub control: SocketAddr,
+    #[serde(rename = "control")]
+    pub control_addr: SocketAddr,
     /// Where viewers fetch segments: `http://host:port`.
-    pub media: String,
+    #[serde(rename = "media")]
+    pub media_url: String,
 }
 
 /// Reads a document; the error tells line and column, or the box at fault.
-pub fn read(json: &str) -> Result<List, String> {
-    let list: List = serde_json::from_str(json).map_err(|e| format!("list: {e}"))?;
+pub fn parse(json: &str) -> Result<BoxList, String> {
+    let list: BoxList = serde_json::from_str(json).map_err(|e| format!("list: {e}"))?;
     for line in &list.boxes {
         if !(line.weight.is_finite() && line.weight > 0.0) {
             return Err(format!("list: box {} {:?}: weight must be above 0", line.id, line.name));
@@ -52,7 +55,7 @@
     Ok(list)
 }
 
-pub fn write(list: &List) -> String {
+pub fn to_json(list: &BoxList) -> String {
     serde_json::to_string(list).expect("texts and numbers")
 }
 
@@ -62,22 +65,22 @@
 
     #[test]
     fn read_back_and_faults_named() {
-        let line = Line {
+        let line = BoxEntry {
             id: 3,
             name: "a-3".into(),
-            state: State::Draining,
+            state: BoxState::Draining,
             rack: 1,
             building: 0,
             kind: 0,
             weight: 2.0,
-            started: Some(5.5),
-            control: ([127, 0, 0, 1], 554).into(),
-            media: "http://127.0.0.1:80".into(),
+            started_at_ms: Some(5.5),
+            control_addr: ([127, 0, 0, 1], 554).into(),
+            media_url: "http://127.0.0.1:80".into(),
         };
-        let list = List { boxes: vec![line.clone()] };
-        assert_eq!(read(&write(&list)), Ok(list));
-        let zero = List { boxes: vec![Line { weight: 0.0, ..line }] };
-        assert_eq!(read(&write(&zero)).unwrap_err(), "list: box 3 \"a-3\": weight must be above 0");
-        assert!(read("{\"boxes\": [{}]}").unwrap_err().contains("line 1 column"));
+        let list = BoxList { boxes: vec![line.clone()] };
+        assert_eq!(parse(&to_json(&list)), Ok(list));
+        let zero = BoxList { boxes: vec![BoxEntry { weight: 0.0, ..line }] };
+        assert_eq!(parse(&to_json(&zero)).unwrap_err(), "list: box 3 \"a-3\": weight must be above 0");
+        assert!(parse("{\"boxes\": [{}]}").unwrap_err().contains("line 1 column"));
     }
 }
--- a/crates/control/src/events.rs
+++ b/crates/control/src/event_stream.rs
@@ -2,7 +2,7 @@
 //! bytes as they come, and a writer.
 
 /// Longest event that is taken, in bytes: a list of some thousand boxes.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_EVENT_BYTES: usize = 4 << 20;
 
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Event {
@@ -13,20 +13,20 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct EventStreamError {
     /// Bytes of the stream before the line at fault.
-    pub at: usize,
-    pub why: String,
+    pub offset: usize,
+    pub reason: String,
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for EventStreamError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "event stream: byte {}: {}", self.at, self.why)
+        write!(f, "event stream: byte {}: {}", self.offset, self.reason)
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct EventReader {
     line: Vec<u8>,
     after_cr: bool,
     at: usize,
@@ -34,9 +34,9 @@
     has_data: bool,
 }
 
-impl Reader {
+impl EventReader {
     /// Takes bytes; returns the events that they complete. After an error the stream is of no more use.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Bad> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventStreamError> {
         let mut events = Vec::new();
         for &b in bytes {
             let ends = match b {
@@ -55,18 +55,18 @@
                 self.at += len;
             }
             self.at += usize::from(b == b'\n' || b == b'\r');
-            if self.line.len() + self.event.data.len() > LONGEST {
-                return Err(self.bad(format!("an event of more than {LONGEST} bytes")));
+            if self.line.len() + self.event.data.len() > MAX_EVENT_BYTES {
+                return Err(self.bad(format!("an event of more than {MAX_EVENT_BYTES} bytes")));
             }
         }
         Ok(events)
     }
 
-    fn bad(&self, why: String) -> Bad {
-        Bad { at: self.at, why }
+    fn bad(&self, why: String) -> EventStreamError {
+        EventStreamError { offset: self.at, reason: why }
     }
 
-    fn take_line(&mut self, line: Vec<u8>) -> Result<Option<Event>, Bad> {
+    fn take_line(&mut self, line: Vec<u8>) -> Result<Option<Event>, EventStreamError> {
         let line = String::from_utf8(line).map_err(|e| self.bad(format!("not UTF-8: {e}")))?;
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
@@ -93,7 +93,7 @@
     }
 }
 
-pub fn write(event: &Event) -> String {
+pub fn encode(event: &Event) -> String {
     let mut text = String::new();
     if let Some(id) = event.id {
         text += &format!("id: {id}\n");
@@ -120,8 +120,8 @@
         ) {
             let wanted: Vec<Event> =
                 events.into_iter().map(|(name, data, id)| Event { id, name, data }).collect();
-            let text: String = wanted.iter().map(write).collect();
-            let (mut reader, mut got, mut rest) = (Reader::default(), Vec::new(), text.as_bytes());
+            let text: String = wanted.iter().map(encode).collect();
+            let (mut reader, mut got, mut rest) = (EventReader::default(), Vec::new(), text.as_bytes());
             for cut in cuts.iter().cycle() {
                 if rest.is_empty() {
                     break;
@@ -135,14 +135,17 @@
 
         #[test]
         fn rubbish_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-            let _ = Reader::default().push(&bytes);
+            let _ = EventReader::default().push(&bytes);
         }
     }
 
     #[test]
     fn errors_name_their_place() {
-        let mut r = Reader::default();
+        let mut r = EventReader::default();
         r.push(b": hello\r\n\r\nid: 4\r\n").unwrap();
-        assert_eq!(r.push(b"id: x\n").unwrap_err(), Bad { at: 18, why: "id \"x\" is not a number".into() });
+        assert_eq!(
+            r.push(b"id: x\n").unwrap_err(),
+            EventStreamError { offset: 18, reason: "id \"x\" is not a number".into() }
+        );
     }
 }
--- a/crates/control/src/rtsp.rs
+++ b/crates/control/src/rtsp.rs
@@ -14,12 +14,12 @@
 use rtsp_types::{Message as Raw, Method, ParseError, Request, Response, StatusCode, Url, Version};
 
 /// Longest message that is taken, in bytes.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-pub const SHARE: &str = "delivered-share";
+pub const DELIVERED_SHARE: &str = "delivered-share";
 pub const STREAMS: &str = "streams";
-pub const LINK: &str = "link-use";
-pub const UPLINK: &str = "uplink-use";
+pub const LINK_USE: &str = "link-use";
+pub const UPLINK_USE: &str = "uplink-use";
 pub const RUNG: &str = "rung";
 
 /// Stands before the title in the URI of a SETUP.
@@ -31,70 +31,72 @@
 /// One message as it was read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    Ask { cseq: u32, ask: Ask },
-    Reply { cseq: u32, status: u16, session: Option<String>, figures: Vec<(String, f64)> },
+    Request { cseq: u32, request: ControlRequest },
+    Response { cseq: u32, status: u16, session: Option<String>, parameters: Vec<(String, f64)> },
 }
 
 /// What a message asks.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum ControlRequest {
     Setup {
         title: String,
-        group: String,
+        service_group: String,
         rung: u8,
         /// The front's own name for the session, in records.
         front_session: u64,
         token: String,
     },
     /// A probe; names of figures.
-    Get(Vec<String>),
+    GetParameter(Vec<String>),
     /// Figures, of a session or of the box.
-    Set {
+    SetParameter {
         session: Option<String>,
-        figures: Vec<(String, f64)>,
+        parameters: Vec<(String, f64)>,
     },
     Teardown {
         session: String,
     },
     /// A method that is not used here; it is answered by 501.
-    Other(String),
+    Unsupported(String),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Bad {
+pub struct RtspError {
     /// Bytes of the stream before the message at fault.
-    pub at: u64,
-    pub why: String,
+    pub offset: u64,
+    pub reason: String,
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for RtspError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "RTSP message at byte {}: {}", self.at, self.why)
+        write!(f, "RTSP message at byte {}: {}", self.offset, self.reason)
     }
 }
 
 /// Cuts a stream of bytes into messages. After an error it is of no more use.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct MessageReader {
     buffer: Vec<u8>,
     at: u64,
 }
 
-impl Reader {
+impl MessageReader {
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// The next whole message, if there is one.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Bad> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, RtspError> {
         if self.buffer.is_empty() {
             return Ok(None);
         }
-        let bad = |why: String| Bad { at: self.at, why };
+        let bad = |why: String| RtspError { offset: self.at, reason: why };
         let (raw, used): (Raw<Vec<u8>>, usize) = match Raw::parse(&self.buffer) {
             Ok(parsed) => parsed,
-            Err(ParseError::Incomplete(_)) if self.buffer.len() <= LONGEST => return Ok(None),
-            Err(ParseError::Incomplete(_)) => return Err(bad(format!("longer than {LONGEST} bytes"))),
+            Err(ParseError::Incomplete(_)) if self.buffer.len() <= MAX_MESSAGE_BYTES => return Ok(None),
+            Err(ParseError::Incomplete(_)) => {
+                return Err(bad(format!("longer than {MAX_MESSAGE_BYTES} bytes")))
+            }
             Err(ParseError::Error) => return Err(bad("not RTSP".into())),
         };
         let message = match raw {
@@ -120,36 +122,38 @@
     let header = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim().to_owned());
     let cseq = number::<u32>(header(&CSEQ), "CSeq")?;
     let session = || header(&SESSION).map(|s| s.split(';').next().unwrap_or("").to_owned());
-    let ask = match r.method() {
+    let request = match r.method() {
         Method::Setup => {
             let uri = r.request_uri().ok_or("SETUP without a URI")?;
             // Marked, as a title that is a dot or two would not survive as a segment of its own.
             let title = uri.path_segments().and_then(|mut s| s.next()).unwrap_or("");
             let title = percent_decoded(title)?;
             let title = title.strip_prefix(TITLE).ok_or("SETUP: the URI names no title")?;
-            Ask::Setup {
+            ControlRequest::Setup {
                 title: title.to_owned(),
-                group: header(&named("Service-Group")).ok_or("Service-Group: missing")?,
+                service_group: header(&named("Service-Group")).ok_or("Service-Group: missing")?,
                 rung: number(header(&named("Rung")), "Rung")?,
                 front_session: number(header(&named("Front-Session")), "Front-Session")?,
                 token: header(&named("Session-Token")).ok_or("Session-Token: missing")?,
             }
         }
-        Method::GetParameter => Ask::Get(lines(r.body())?.map(str::to_owned).collect()),
-        Method::SetParameter => Ask::Set { session: session(), figures: figures(r.body())? },
-        Method::Teardown => Ask::Teardown { session: session().ok_or("Session: missing")? },
-        other => Ask::Other(<&str>::from(other).to_owned()),
+        Method::GetParameter => ControlRequest::GetParameter(lines(r.body())?.map(str::to_owned).collect()),
+        Method::SetParameter => {
+            ControlRequest::SetParameter { session: session(), parameters: figures(r.body())? }
+        }
+        Method::Teardown => ControlRequest::Teardown { session: session().ok_or("Session: missing")? },
+        other => ControlRequest::Unsupported(<&str>::from(other).to_owned()),
     };
-    Ok(Message::Ask { cseq, ask })
+    Ok(Message::Request { cseq, request })
 }
 
 fn read_response(r: &Response<Vec<u8>>) -> Result<Message, String> {
     let header = |name: &HeaderName| r.header(name).map(|v| v.as_str().trim().to_owned());
-    Ok(Message::Reply {
+    Ok(Message::Response {
         cseq: number(header(&CSEQ), "CSeq")?,
         status: r.status().into(),
         session: header(&SESSION).map(|s| s.split(';').next().unwrap_or("").to_owned()),
-        figures: figures(r.body())?,
+        parameters: figures(r.body())?,
     })
 }
 
@@ -183,7 +187,7 @@
 }
 
 /// The bytes of a message; fails only for an address that no URI can hold.
-pub fn write(message: &Message, host: &str) -> Result<Vec<u8>, String> {
+pub fn encode(message: &Message, host: &str) -> Result<Vec<u8>, String> {
     let mut bytes = Vec::with_capacity(512);
     let uri = |path: &str| {
         let path = percent_encoding::utf8_percent_encode(path, percent_encoding::NON_ALPHANUMERIC);
@@ -193,48 +197,50 @@
     let figure_lines = |figures: &[(String, f64)]| figures.iter().map(|(n, v)| format!("{n}: {v}")).collect();
     let text = "text/parameters";
     match message {
-        Message::Ask { cseq, ask } => {
-            let request = |method, path: &str| -> Result<_, String> {
+        Message::Request { cseq, request } => {
+            let builder = |method, path: &str| -> Result<_, String> {
                 let b = Request::builder(method, Version::V2_0).request_uri(uri(path)?);
                 Ok(b.header(CSEQ, cseq.to_string()))
             };
-            let message = match ask {
-                Ask::Setup { title, group, rung, front_session, token } => {
-                    request(Method::Setup, &format!("{TITLE}{title}"))?
+            let message = match request {
+                ControlRequest::Setup { title, service_group, rung, front_session, token } => {
+                    builder(Method::Setup, &format!("{TITLE}{title}"))?
                         .header(TRANSPORT, "DASH/HTTP;unicast")
-                        .header(named("Service-Group"), group.as_str())
+                        .header(named("Service-Group"), service_group.as_str())
                         .header(named("Rung"), rung.to_string())
                         .header(named("Front-Session"), front_session.to_string())
                         .header(named("Session-Token"), token.as_str())
                         .build(Vec::new())
                 }
-                Ask::Get(names) => {
-                    request(Method::GetParameter, "")?.header(CONTENT_TYPE, text).build(body(names.clone()))
+                ControlRequest::GetParameter(names) => {
+                    builder(Method::GetParameter, "")?.header(CONTENT_TYPE, text).build(body(names.clone()))
                 }
-                Ask::Set { session, figures } => {
-                    let mut b = request(Method::SetParameter, "")?.header(CONTENT_TYPE, text);
+                ControlRequest::SetParameter { session, parameters } => {
+                    let mut b = builder(Method::SetParameter, "")?.header(CONTENT_TYPE, text);
                     if let Some(session) = session {
                         b = b.header(SESSION, session.as_str());
                     }
-                    b.build(body(figure_lines(figures)))
+                    b.build(body(figure_lines(parameters)))
+                }
+                ControlRequest::Teardown { session } => {
+                    builder(Method::Teardown, "")?.header(SESSION, session.as_str()).build(Vec::new())
                 }
-                Ask::Teardown { session } => {
-                    request(Method::Teardown, "")?.header(SESSION, session.as_str()).build(Vec::new())
+                ControlRequest::Unsupported(method) => {
+                    builder(Method::Extension(method.clone()), "")?.build(Vec::new())
                 }
-                Ask::Other(method) => request(Method::Extension(method.clone()), "")?.build(Vec::new()),
             };
             message.write(&mut bytes)
         }
-        Message::Reply { cseq, status, session, figures } => {
+        Message::Response { cseq, status, session, parameters } => {
             let mut b = Response::builder(Version::V2_0, StatusCode::from(*status));
             b = b.header(CSEQ, cseq.to_string());
             if let Some(session) = session {
                 b = b.header(SESSION, session.as_str());
             }
-            if !figures.is_empty() {
+            if !parameters.is_empty() {
                 b = b.header(CONTENT_TYPE, text);
             }
-            b.build(body(figure_lines(figures))).write(&mut bytes)
+            b.build(body(figure_lines(parameters))).write(&mut bytes)
         }
     }
     .map_err(|e| format!("RTSP message: {e:?}"))?;
@@ -246,34 +252,34 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn asks() -> impl Strategy<Value = Ask> {
+    fn requests() -> impl Strategy<Value = ControlRequest> {
         let figures = || prop::collection::vec(("[a-z][a-z-]{0,8}", -1e6..1e6f64), 0..4);
         prop_oneof![
             ("\\PC{1,20}", "[a-z-]{1,9}", any::<u8>(), any::<u64>(), "[A-Za-z0-9_-]{1,300}").prop_map(
-                |(title, group, rung, front_session, token)| Ask::Setup {
+                |(title, service_group, rung, front_session, token)| ControlRequest::Setup {
                     title,
-                    group,
+                    service_group,
                     rung,
                     front_session,
                     token
                 }
             ),
-            prop::collection::vec("[a-z-]{1,9}".prop_map(|s| s), 0..4).prop_map(Ask::Get),
+            prop::collection::vec("[a-z-]{1,9}".prop_map(|s| s), 0..4).prop_map(ControlRequest::GetParameter),
             (prop::option::of("[A-Za-z0-9]{1,20}"), figures())
-                .prop_map(|(session, figures)| Ask::Set { session, figures }),
-            "[A-Za-z0-9]{1,20}".prop_map(|session| Ask::Teardown { session }),
+                .prop_map(|(session, parameters)| ControlRequest::SetParameter { session, parameters }),
+            "[A-Za-z0-9]{1,20}".prop_map(|session| ControlRequest::Teardown { session }),
         ]
     }
 
     fn messages() -> impl Strategy<Value = Message> {
         let reply = (any::<u32>(), 100u16..600, prop::option::of("[A-Za-z0-9]{1,20}"));
         prop_oneof![
-            (any::<u32>(), asks()).prop_map(|(cseq, ask)| Message::Ask { cseq, ask }),
-            reply.prop_map(|(cseq, status, session)| Message::Reply {
+            (any::<u32>(), requests()).prop_map(|(cseq, request)| Message::Request { cseq, request }),
+            reply.prop_map(|(cseq, status, session)| Message::Response {
                 cseq,
                 status,
                 session,
-                figures: vec![("link-use".into(), 0.75)],
+                parameters: vec![("link-use".into(), 0.75)],
             }),
         ]
     }
@@ -284,9 +290,9 @@
         fn read_back(wanted in prop::collection::vec(messages(), 1..4), cut in 1usize..80) {
             let mut bytes = Vec::new();
             for m in &wanted {
-                bytes.extend(write(m, "127.0.0.1:554").unwrap());
+                bytes.extend(encode(m, "127.0.0.1:554").unwrap());
             }
-            let (mut reader, mut got) = (Reader::default(), Vec::new());
+            let (mut reader, mut got) = (MessageReader::default(), Vec::new());
             for piece in bytes.chunks(cut) {
                 reader.push(piece);
                 while let Some(m) = reader.next_message().unwrap() {
@@ -298,7 +304,7 @@
 
         #[test]
         fn rubbish_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-            let mut reader = Reader::default();
+            let mut reader = MessageReader::default();
             reader.push(&bytes);
             while let Ok(Some(_)) = reader.next_message() {}
         }
@@ -306,10 +312,10 @@
         /// A sound message with some bytes changed is read or refused, never a panic.
         #[test]
         fn nearly_right_is_no_panic(m in messages(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
-            let mut bytes = write(&m, "127.0.0.1:554").unwrap();
+            let mut bytes = encode(&m, "127.0.0.1:554").unwrap();
             let at = at.index(bytes.len());
             bytes[at] = to;
-            let mut reader = Reader::default();
+            let mut reader = MessageReader::default();
             reader.push(&bytes);
             while let Ok(Some(_)) = reader.next_message() {}
         }
@@ -317,17 +323,21 @@
 
     #[test]
     fn errors_name_their_place() {
-        let mut reader = Reader::default();
+        let mut reader = MessageReader::default();
         let good =
-            write(&Message::Reply { cseq: 1, status: 200, session: None, figures: vec![] }, "h").unwrap();
+            encode(&Message::Response { cseq: 1, status: 200, session: None, parameters: vec![] }, "h")
+                .unwrap();
         reader.push(&good);
         reader.push(b"RTSP/2.0 200 OK\r\nCSeq: x\r\n\r\n");
         assert!(reader.next_message().unwrap().is_some());
         let bad = reader.next_message().unwrap_err();
-        assert_eq!(bad, Bad { at: good.len() as u64, why: "CSeq: \"x\" is not a number".into() });
-        let mut endless = Reader::default();
+        assert_eq!(
+            bad,
+            RtspError { offset: good.len() as u64, reason: "CSeq: \"x\" is not a number".into() }
+        );
+        let mut endless = MessageReader::default();
         endless.push(b"RTSP/2.0 200 OK\r\nCSeq: 1\r\nContent-Length: 999999999\r\n\r\n");
-        endless.push(&[b'x'; LONGEST]);
-        assert!(endless.next_message().unwrap_err().why.contains("longer than"));
+        endless.push(&[b'x'; MAX_MESSAGE_BYTES]);
+        assert!(endless.next_message().unwrap_err().reason.contains("longer than"));
     }
 }
--- a/crates/front/src/boxes.rs
+++ b/crates/front/src/boxes.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::Arc;
 use walnutline::ids::ServerId;
-use walnutline_control::rtsp::{self, Ask, Message, Reader};
+use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_desk::live::{FromBox, Outcome, Report, ToBox};
 
 pub enum Out {
@@ -101,23 +101,23 @@
         for out in std::iter::once(first).chain(outs.try_iter().take(63)) {
             let message = match out {
                 Out::Reply { cseq, status } => {
-                    Message::Reply { cseq, status, session: None, figures: Vec::new() }
+                    Message::Response { cseq, status, session: None, parameters: Vec::new() }
                 }
                 Out::Ask { cseq, what } => {
                     progress.begun.fetch_max(cseq, Ordering::SeqCst);
                     if progress.closed.load(Ordering::SeqCst) {
                         return;
                     }
-                    let Some(ask) = ask(shared, server, what) else {
+                    let Some(request) = ask(shared, server, what) else {
                         // Nothing may be left out of the numbers that the box sees.
                         tracing::error!("no session key is in force: connection to box given up");
                         let _ = stream.shutdown(Shutdown::Both);
                         return;
                     };
-                    Message::Ask { cseq, ask }
+                    Message::Request { cseq, request }
                 }
             };
-            match rtsp::write(&message, &host) {
+            match rtsp::encode(&message, &host) {
                 Ok(b) => bytes.extend(b),
                 Err(e) => tracing::error!(server = server.0, "{e}"),
             }
@@ -129,20 +129,23 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-fn ask(shared: &Shared, server: ServerId, what: ToBox<Ticket>) -> Option<Ask> {
+fn ask(shared: &Shared, server: ServerId, what: ToBox<Ticket>) -> Option<ControlRequest> {
     Some(match what {
-        ToBox::Setup { id, of, rung } => Ask::Setup {
+        ToBox::Setup { id, of, rung } => ControlRequest::Setup {
             title: of.title.clone(),
-            group: shared.groups[of.group].name.clone(),
+            service_group: shared.groups[of.group].name.clone(),
             rung,
             front_session: id.0,
             token: of.session_token(shared, server, shared.clock.now())?,
         },
-        ToBox::Probe => Ask::Get([rtsp::STREAMS, rtsp::LINK, rtsp::UPLINK].map(str::to_owned).to_vec()),
-        ToBox::Rung { session, rung } => {
-            Ask::Set { session: Some(session), figures: vec![(rtsp::RUNG.to_owned(), f64::from(rung))] }
-        }
-        ToBox::Teardown { session } => Ask::Teardown { session },
+        ToBox::Probe => ControlRequest::GetParameter(
+            [rtsp::STREAMS, rtsp::LINK_USE, rtsp::UPLINK_USE].map(str::to_owned).to_vec(),
+        ),
+        ToBox::Rung { session, rung } => ControlRequest::SetParameter {
+            session: Some(session),
+            parameters: vec![(rtsp::RUNG.to_owned(), f64::from(rung))],
+        },
+        ToBox::Teardown { session } => ControlRequest::Teardown { session },
     })
 }
 
@@ -154,7 +157,7 @@
     mut stream: TcpStream,
     out: mpsc::Sender<Out>,
 ) -> String {
-    let (mut reader, mut bytes) = (Reader::default(), vec![0; 8_192]);
+    let (mut reader, mut bytes) = (MessageReader::default(), vec![0; 8_192]);
     loop {
         match stream.read(&mut bytes) {
             Ok(0) => return "its end".into(),
@@ -181,7 +184,7 @@
 
 fn told(message: Message, out: &mpsc::Sender<Out>) -> Option<FromBox> {
     match message {
-        Message::Reply { cseq, status, session, figures } => {
+        Message::Response { cseq, status, session, parameters } => {
             let outcome = match status {
                 200..=299 => Outcome::Done { session },
                 rtsp::NOT_ENOUGH_BANDWIDTH | rtsp::SERVICE_UNAVAILABLE => Outcome::Busy,
@@ -189,15 +192,17 @@
                 100..=199 => return None,
                 _ => Outcome::Error,
             };
-            Some(FromBox::Reply { cseq, outcome, report: report(&figures) })
+            Some(FromBox::Reply { cseq, outcome, report: report(&parameters) })
         }
-        Message::Ask { cseq, ask } => {
-            let (status, told) = match ask {
-                Ask::Set { figures, .. } => match figures.iter().find(|(n, _)| n == rtsp::SHARE) {
-                    Some((_, share)) => (200, Some(FromBox::Share(*share))),
-                    None => (200, Some(FromBox::News(report(&figures)))),
-                },
-                Ask::Teardown { session } => (200, Some(FromBox::Over { session })),
+        Message::Request { cseq, request } => {
+            let (status, told) = match request {
+                ControlRequest::SetParameter { parameters, .. } => {
+                    match parameters.iter().find(|(n, _)| n == rtsp::DELIVERED_SHARE) {
+                        Some((_, share)) => (200, Some(FromBox::Share(*share))),
+                        None => (200, Some(FromBox::News(report(&parameters)))),
+                    }
+                }
+                ControlRequest::Teardown { session } => (200, Some(FromBox::Over { session })),
                 _ => (501, None),
             };
             let _ = out.send(Out::Reply { cseq, status });
@@ -208,5 +213,5 @@
 
 fn report(figures: &[(String, f64)]) -> Report {
     let find = |name: &str| figures.iter().find(|(n, _)| n == name).map(|(_, v)| *v);
-    Report { streams: find(rtsp::STREAMS), link: find(rtsp::LINK), uplink: find(rtsp::UPLINK) }
+    Report { streams: find(rtsp::STREAMS), link: find(rtsp::LINK_USE), uplink: find(rtsp::UPLINK_USE) }
 }
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -16,7 +16,7 @@
 use walnutline_catalogue::version::Version;
 use walnutline_catalogue::{follow, keep, snapshot, wire};
 use walnutline_catalogue_store::{write_snapshot, Fault, Part, Store};
-use walnutline_control::events::{Event, Reader};
+use walnutline_control::event_stream::{Event, EventReader};
 use walnutline_desk::live::Waits;
 use walnutline_desk::retry::Retry;
 use walnutline_settings::CatalogueTerms;
@@ -229,7 +229,7 @@
 
     fn changes(&mut self, at: SocketAddr, path: &str, after: u64, retry: &mut Retry) -> io::Result<()> {
         let mut body = Body::open(at, path, &format!("Last-Event-ID: {after}\r\n"), self.waits)?;
-        let mut events = Reader::default();
+        let mut events = EventReader::default();
         loop {
             body.wait_at_most(if self.follow.due().is_some() { GATHERING } else { BEAT })?;
             match body.read() {
--- a/crates/front/src/list.rs
+++ b/crates/front/src/list.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use walnutline::fleet::{Listed, Listing};
 use walnutline::ids::{CellNo, KindNo, ServerId, ZoneNo};
-use walnutline_control::events::{Event, Reader};
-use walnutline_control::list::{self, Line, State};
+use walnutline_control::box_list::{self, BoxEntry, BoxState};
+use walnutline_control::event_stream::{Event, EventReader};
 use walnutline_desk::follow::{Follow, Sort, Verdict};
 use walnutline_desk::live::{BoxLine, Waits};
 use walnutline_desk::retry::Retry;
@@ -43,7 +43,7 @@
 ) -> io::Result<()> {
     let resume = follow.resume().map_or(String::new(), |n| format!("Last-Event-ID: {n}\r\n"));
     let mut body = Body::open(at, path, &format!("Accept: text/event-stream\r\n{resume}"), waits)?;
-    let mut events = Reader::default();
+    let mut events = EventReader::default();
     loop {
         let n = match body.read()? {
             Got::Bytes(n) => n,
@@ -63,8 +63,8 @@
 
 fn take(shared: &Shared, event: Event, follow: &mut Follow) -> io::Result<()> {
     let sort = match event.name.as_str() {
-        list::WHOLE => Sort::Whole,
-        list::CHANGES => Sort::Changes,
+        box_list::FULL_LIST_EVENT => Sort::Whole,
+        box_list::CHANGES_EVENT => Sort::Changes,
         _ => return Ok(()),
     };
     let unreadable = |follow: &mut Follow, why: String| {
@@ -75,7 +75,7 @@
     let Some(number) = event.id else {
         return unreadable(follow, "an event without its number".into());
     };
-    let list = match list::read(&event.data) {
+    let list = match box_list::parse(&event.data) {
         Ok(list) => list,
         Err(why) => return unreadable(follow, why),
     };
@@ -90,7 +90,7 @@
     }
 }
 
-fn line(line: Line) -> (BoxLine, String) {
+fn line(line: BoxEntry) -> (BoxLine, String) {
     let listed = Listed {
         id: ServerId(line.id),
         zone: ZoneNo(line.building.into()),
@@ -98,12 +98,12 @@
         // Holders are named in requests; of cells only the rack is wanted.
         cell: CellNo(line.rack),
         listing: match line.state {
-            State::Ready => Listing::Ready,
-            State::Draining => Listing::Draining,
-            State::Gone => Listing::Gone,
+            BoxState::Ready => Listing::Ready,
+            BoxState::Draining => Listing::Draining,
+            BoxState::Gone => Listing::Gone,
         },
         weight: line.weight,
-        started: line.started,
+        started: line.started_at_ms,
     };
-    (BoxLine { listed, control: line.control }, line.media)
+    (BoxLine { listed, control: line.control_addr }, line.media_url)
 }
--- a/crates/rehearsal/src/alone.rs
+++ b/crates/rehearsal/src/alone.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
-use walnutline_control::list::{self, Line, List, State};
+use walnutline_control::box_list::{self, BoxEntry, BoxList, BoxState};
 use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
 
 #[derive(clap::Args)]
@@ -90,19 +90,19 @@
     let common = Common::new(Arc::new(depot), keys, BTreeMap::new(), 0.02, 500.0);
     let common = Arc::new(common);
     let p = Process::start(&common, args.id, args.cold).map_err(|e| format!("box {}: {e}", args.id))?;
-    let line = Line {
+    let line = BoxEntry {
         id: args.id,
         name: format!("box-{}", args.id),
-        state: State::Ready,
+        state: BoxState::Ready,
         rack: args.rack,
         building: 0,
         kind: 0,
         weight: 1.0,
-        started: args.cold.then(|| common.depot.seen.now()),
-        control: p.control,
-        media: format!("http://{}", p.media),
+        started_at_ms: args.cold.then(|| common.depot.seen.now()),
+        control_addr: p.control,
+        media_url: format!("http://{}", p.media),
     };
-    println!("{}", list::write(&List { boxes: vec![line] }));
+    println!("{}", box_list::to_json(&BoxList { boxes: vec![line] }));
     loop {
         std::thread::sleep(Duration::from_millis(100));
         common.depot.sample();
@@ -115,14 +115,14 @@
     coroutines();
     let seen = Arc::new(Recorder::create(&args.records)?);
     let (listing, address) = Listing::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
-    let (mut read_at, mut known): (Option<SystemTime>, BTreeMap<u32, Line>) = (None, BTreeMap::new());
+    let (mut read_at, mut known): (Option<SystemTime>, BTreeMap<u32, BoxEntry>) = (None, BTreeMap::new());
     loop {
         let at = std::fs::metadata(&args.file).and_then(|m| m.modified());
         let at = at.map_err(|e| format!("{}: {e}", args.file.display()))?;
         if read_at != Some(at) {
             let text =
                 std::fs::read_to_string(&args.file).map_err(|e| format!("{}: {e}", args.file.display()))?;
-            match list::read(&text) {
+            match box_list::parse(&text) {
                 Ok(list) => known = changed(&listing, known, list),
                 // A list that cannot be read changes nothing, but at the start there is nothing to keep.
                 Err(e) if read_at.is_none() => return Err(format!("{}: {e}", args.file.display())),
@@ -139,11 +139,12 @@
 }
 
 /// Tells what is new or other than before; what the file leaves out is gone.
-fn changed(listing: &Listing, before: BTreeMap<u32, Line>, list: List) -> BTreeMap<u32, Line> {
-    let now: BTreeMap<u32, Line> = list.boxes.into_iter().map(|l| (l.id, l)).collect();
+fn changed(listing: &Listing, before: BTreeMap<u32, BoxEntry>, list: BoxList) -> BTreeMap<u32, BoxEntry> {
+    let now: BTreeMap<u32, BoxEntry> = list.boxes.into_iter().map(|l| (l.id, l)).collect();
     let other = now.values().filter(|l| before.get(&l.id) != Some(l)).cloned();
     let gone = before.values().filter(|l| !now.contains_key(&l.id));
-    let lines: Vec<Line> = other.chain(gone.map(|l| Line { state: State::Gone, ..l.clone() })).collect();
+    let lines: Vec<BoxEntry> =
+        other.chain(gone.map(|l| BoxEntry { state: BoxState::Gone, ..l.clone() })).collect();
     if !lines.is_empty() {
         listing.change(lines);
     }
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -12,7 +12,7 @@
 use std::net::{Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
-use walnutline_control::rtsp::{self, Ask, Message, Reader};
+use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_dash::{token, VerifyingKey};
 use walnutline_gate::keys::KeyLookupError;
 
@@ -159,7 +159,7 @@
         let conn = Arc::new(self);
         let notices = (conn.clone(), writer.clone());
         spawn(move || notices.0.notices(&notices.1));
-        let (mut reader, mut bytes) = (Reader::default(), vec![0; 8_192]);
+        let (mut reader, mut bytes) = (MessageReader::default(), vec![0; 8_192]);
         'read: while let Ok(n) = stream.read(&mut bytes) {
             if n == 0 {
                 break;
@@ -167,8 +167,8 @@
             reader.push(&bytes[..n]);
             loop {
                 match reader.next_message() {
-                    Ok(Some(Message::Ask { cseq, ask })) => conn.asked(cseq, ask, &writer),
-                    Ok(Some(Message::Reply { .. })) => {}
+                    Ok(Some(Message::Request { cseq, request })) => conn.asked(cseq, request, &writer),
+                    Ok(Some(Message::Response { .. })) => {}
                     Ok(None) => break,
                     Err(bad) => {
                         eprintln!("box {}: {bad}", conn.server);
@@ -195,36 +195,38 @@
     }
 
     fn say(&self, writer: &Writer, message: &Message) {
-        let bytes = rtsp::write(message, "127.0.0.1").expect("a plain host");
+        let bytes = rtsp::encode(message, "127.0.0.1").expect("a plain host");
         if let Ok(mut stream) = writer.lock() {
             let _ = stream.write_all(&bytes);
         }
     }
 
-    fn reply(&self, writer: &Writer, cseq: u32, status: u16, figures: Vec<(String, f64)>) {
-        self.say(writer, &Message::Reply { cseq, status, session: None, figures });
+    fn reply(&self, writer: &Writer, cseq: u32, status: u16, parameters: Vec<(String, f64)>) {
+        self.say(writer, &Message::Response { cseq, status, session: None, parameters });
     }
 
-    fn asked(self: &Arc<Self>, cseq: u32, ask: Ask, writer: &Writer) {
-        match ask {
-            Ask::Setup { title, group, rung, front_session, token } => {
+    fn asked(self: &Arc<Self>, cseq: u32, request: ControlRequest, writer: &Writer) {
+        match request {
+            ControlRequest::Setup { title, service_group, rung, front_session, token } => {
                 let front = self.front_of(&token, front_session);
                 let Some(front) = front else {
                     return self.reply(writer, cseq, 401, Vec::new());
                 };
                 let session = front_session;
-                let scale = self.common.scales.get(&group).copied().unwrap_or(1.0)
+                let scale = self.common.scales.get(&service_group).copied().unwrap_or(1.0)
                     * self.common.factors.get(&title).copied().unwrap_or(1.0);
-                let seen = Seen::Setup { server: self.server, front, session, title, group, rung };
+                let seen =
+                    Seen::Setup { server: self.server, front, session, title, group: service_group, rung };
                 if !self.common.depot.saw(self.server, self.generation, seen) {
                     return;
                 }
                 let (conn, writer) = (self.clone(), writer.clone());
                 spawn(move || conn.set_up(cseq, session, scale, rung, &writer));
             }
-            Ask::Get(_) => {
+            ControlRequest::GetParameter(_) => {
                 let f = self.common.depot.report(self.server);
-                let figures = [(rtsp::STREAMS, f.streams), (rtsp::LINK, f.link), (rtsp::UPLINK, f.uplink)];
+                let figures =
+                    [(rtsp::STREAMS, f.streams), (rtsp::LINK_USE, f.link), (rtsp::UPLINK_USE, f.uplink)];
                 let figures = figures.map(|(n, v)| (n.to_owned(), v)).to_vec();
                 let (conn, writer) = (self.clone(), writer.clone());
                 spawn(move || {
@@ -234,22 +236,22 @@
                 });
             }
             // What comes to a box that hangs is seen as it comes, and done once it wakes.
-            Ask::Set { .. } | Ask::Teardown { .. } => {
+            ControlRequest::SetParameter { .. } | ControlRequest::Teardown { .. } => {
                 let (conn, writer) = (self.clone(), writer.clone());
                 spawn(move || {
                     if conn.awake() {
-                        conn.change(cseq, ask, &writer);
+                        conn.change(cseq, request, &writer);
                     }
                 });
             }
-            Ask::Other(_) => self.reply(writer, cseq, 501, Vec::new()),
+            ControlRequest::Unsupported(_) => self.reply(writer, cseq, 501, Vec::new()),
         }
     }
 
-    fn change(&self, cseq: u32, ask: Ask, writer: &Writer) {
-        match ask {
-            Ask::Set { session, figures } => {
-                let rung = figures.iter().find(|(n, _)| n == rtsp::RUNG).map(|(_, v)| *v as u8);
+    fn change(&self, cseq: u32, request: ControlRequest, writer: &Writer) {
+        match request {
+            ControlRequest::SetParameter { session, parameters } => {
+                let rung = parameters.iter().find(|(n, _)| n == rtsp::RUNG).map(|(_, v)| *v as u8);
                 let known = self.with_session(session.as_deref(), |s| {
                     if let Some(rung) = rung {
                         s.rung = rung;
@@ -261,7 +263,7 @@
                 }
                 self.reply(writer, cseq, if known.is_some() { 200 } else { 454 }, Vec::new());
             }
-            Ask::Teardown { session } => {
+            ControlRequest::Teardown { session } => {
                 let known = self.with_session(Some(&session), |s| s.id);
                 if let Some(id) = known {
                     self.common.depot.lock().boxes[self.server as usize].sessions.remove(&id);
@@ -344,12 +346,15 @@
             return;
         }
         let session = (status == 200).then_some(name.clone());
-        self.say(writer, &Message::Reply { cseq, status, session, figures: Vec::new() });
+        self.say(writer, &Message::Response { cseq, status, session, parameters: Vec::new() });
         if let Some(lasts) = self.common.sessions_last.filter(|_| status == 200) {
             sleep(lasts);
             if depot.lock().boxes[self.server as usize].sessions.remove(&id).is_some() {
                 self.over(id, "its end");
-                self.say(writer, &Message::Ask { cseq, ask: Ask::Teardown { session: name } });
+                self.say(
+                    writer,
+                    &Message::Request { cseq, request: ControlRequest::Teardown { session: name } },
+                );
             }
         }
     }
@@ -361,7 +366,7 @@
         while self.awake() {
             sleep(NOTICE_EVERY);
             let now = self.common.depot.seen.now();
-            let mut asks = Vec::new();
+            let mut requests = Vec::new();
             {
                 let mut inside = self.common.depot.lock();
                 let late_until = inside.reports_late.1;
@@ -370,7 +375,10 @@
                 let own = b.sessions.values().any(|s| s.conn == self.no);
                 if own && now >= late_until && (share < 0.98 || was_short) {
                     was_short = share < 0.98;
-                    asks.push(Ask::Set { session: None, figures: vec![(rtsp::SHARE.into(), share)] });
+                    requests.push(ControlRequest::SetParameter {
+                        session: None,
+                        parameters: vec![(rtsp::DELIVERED_SHARE.into(), share)],
+                    });
                 }
                 let idle = |s: &&Session| s.conn == self.no && now - s.fetched > UNWATCHED;
                 let ended: Vec<(u64, String)> =
@@ -378,12 +386,12 @@
                 for (id, session) in ended {
                     b.sessions.remove(&id);
                     self.over(id, "not watched");
-                    asks.push(Ask::Teardown { session });
+                    requests.push(ControlRequest::Teardown { session });
                 }
             }
-            for ask in asks {
+            for request in requests {
                 cseq += 1;
-                self.say(writer, &Message::Ask { cseq, ask });
+                self.say(writer, &Message::Request { cseq, request });
             }
         }
     }
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -5,8 +5,8 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use walnutline_control::events::{self, Event};
-use walnutline_control::list::{self, Line, List, State, CHANGES, WHOLE};
+use walnutline_control::box_list::{self, BoxEntry, BoxList, BoxState, CHANGES_EVENT, FULL_LIST_EVENT};
+use walnutline_control::event_stream::{self, Event};
 
 /// Changes kept for fronts that resume.
 const KEPT: usize = 64;
@@ -14,12 +14,12 @@
 struct Change {
     number: u64,
     at: f64,
-    lines: Vec<Line>,
+    lines: Vec<BoxEntry>,
 }
 
 #[derive(Default)]
 struct Inside {
-    lines: Vec<Line>,
+    lines: Vec<BoxEntry>,
     changes: Vec<Change>,
     number: u64,
     /// How late changes are told, until when.
@@ -53,7 +53,7 @@
     }
 
     /// Lines that are new or other than before.
-    pub fn change(&self, lines: Vec<Line>) {
+    pub fn change(&self, lines: Vec<BoxEntry>) {
         let mut inside = self.lock();
         for line in &lines {
             inside.lines.retain(|l| l.id != line.id);
@@ -67,10 +67,10 @@
         }
     }
 
-    pub fn set_state(&self, server: u32, state: State) {
+    pub fn set_state(&self, server: u32, state: BoxState) {
         let line = self.lock().lines.iter().find(|l| l.id == server).cloned();
         if let Some(line) = line {
-            self.change(vec![Line { state, ..line }]);
+            self.change(vec![BoxEntry { state, ..line }]);
         }
     }
 
@@ -79,17 +79,17 @@
     }
 
     /// What may be told now beyond a number: a change is told once it is as old as the list is late.
-    fn due(&self, told: Option<u64>) -> Option<(u64, &'static str, Vec<Line>)> {
+    fn due(&self, told: Option<u64>) -> Option<(u64, &'static str, Vec<BoxEntry>)> {
         let now = self.seen.now();
         let inside = self.lock();
         let late = if now < inside.late.1 { inside.late.0 } else { self.delay };
         let told = match told {
             Some(told) if inside.changes.first().is_none_or(|c| c.number <= told + 1) => told,
             // From the start, or more was missed than is kept.
-            _ => return Some((inside.number, WHOLE, inside.lines.clone())),
+            _ => return Some((inside.number, FULL_LIST_EVENT, inside.lines.clone())),
         };
         let next = inside.changes.iter().find(|c| c.number == told + 1 && c.at + late <= now)?;
-        Some((next.number, CHANGES, next.lines.clone()))
+        Some((next.number, CHANGES_EVENT, next.lines.clone()))
     }
 
     fn serve(&self, mut stream: may::net::TcpStream) -> io::Result<()> {
@@ -108,9 +108,9 @@
                         let state = format!("{:?}", line.state).to_lowercase();
                         self.seen.saw(Seen::Told { front, server: line.id, state });
                     }
-                    let data = list::write(&List { boxes });
+                    let data = box_list::to_json(&BoxList { boxes });
                     let event = Event { id: Some(number), name: name.into(), data };
-                    stream.write_all(events::write(&event).as_bytes())?;
+                    stream.write_all(event_stream::encode(&event).as_bytes())?;
                 }
                 None => {
                     quiet += 1;
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use walnutline_control::list::{Line, State};
+use walnutline_control::box_list::{BoxEntry, BoxState};
 use walnutline_dash::{encode_base64url, SigningKey};
 
 #[derive(clap::Args)]
@@ -208,17 +208,17 @@
 
     fn start_box(&mut self, server: u32, cold: bool) -> Result<(), String> {
         let p = Process::start(&self.common, server, cold).map_err(|e| format!("box {server}: {e}"))?;
-        let line = Line {
+        let line = BoxEntry {
             id: server,
             name: format!("box-{server}"),
-            state: State::Ready,
+            state: BoxState::Ready,
             rack: server % self.script.racks,
             building: 0,
             kind: 0,
             weight: 1.0,
-            started: cold.then(|| self.seen.now()),
-            control: p.control,
-            media: format!("http://{}", p.media),
+            started_at_ms: cold.then(|| self.seen.now()),
+            control_addr: p.control,
+            media_url: format!("http://{}", p.media),
         };
         self.boxes.insert(server, p);
         self.listing.change(vec![line]);
@@ -365,7 +365,7 @@
             Trouble::Kill(which) => {
                 for server in self.pick(&which) {
                     self.kill_box(server, "killed");
-                    self.listing.set_state(server, State::Gone);
+                    self.listing.set_state(server, BoxState::Gone);
                 }
             }
             Trouble::Restart(which) => {
@@ -426,7 +426,7 @@
         match what {
             Later::Drain(wave) => {
                 for server in wave {
-                    self.listing.set_state(server, State::Draining);
+                    self.listing.set_state(server, BoxState::Draining);
                     self.later.push((now + DRAIN_TO_DEATH, Later::Kill(server)));
                 }
             }
@@ -435,7 +435,7 @@
                 self.later.push((now + 50.0, Later::Gone(server)));
             }
             Later::Gone(server) => {
-                self.listing.set_state(server, State::Gone);
+                self.listing.set_state(server, BoxState::Gone);
                 self.later.push((now + 200.0, Later::StartCold(server)));
             }
             Later::StartCold(server) => self.start_box(server, true)?,
--- a/crates/rehearsal/src/publisher.rs
+++ b/crates/rehearsal/src/publisher.rs
@@ -6,7 +6,7 @@
 use walnutline_catalogue::change::{Change, Numbered};
 use walnutline_catalogue::version::Version;
 use walnutline_catalogue::{snapshot, wire};
-use walnutline_control::events::{self, Event};
+use walnutline_control::event_stream::{self, Event};
 
 struct Inside {
     now: Arc<Version>,
@@ -143,10 +143,10 @@
             let mut text = String::new();
             for n in &say {
                 let event = Event { id: Some(n.number), name: "change".into(), data: wire::write(n) };
-                text += &events::write(&event);
+                text += &event_stream::encode(&event);
             }
             if too_old {
-                text = events::write(&Event { id: None, name: "too-old".into(), data: String::new() });
+                text = event_stream::encode(&Event { id: None, name: "too-old".into(), data: String::new() });
             }
             stream.write_all(text.as_bytes())?;
             if too_old {
