--- a/crates/gate/src/authorization.rs
+++ b/crates/gate/src/authorization.rs
@@ -1,47 +1,69 @@
-//! Whether a request with its token and proof is let in, or why not.
+//! Checks whether the claims of an access token and a DPoP proof authorize a request, and names the reason if not.
+//! Signatures are verified where tokens and proofs are decoded, before these checks.
 use crate::claims::{ProofClaims, ViewerClaims};
 use crate::keys::KeyLookupError;
 use crate::replay::ReplayCheck;
 use crate::UnixMs;
 
-/// Terms of letting in that the operator states.
+/// Authorization limits from the operator's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AuthorizationPolicy {
-    /// How old a proof may be, in milliseconds.
+    /// Maximum age of a proof, in milliseconds.
     pub max_proof_age_ms: UnixMs,
-    /// How far clocks may be apart, in milliseconds.
+    /// Maximum difference between two clocks, in milliseconds.
     pub clock_skew_ms: UnixMs,
 }
 
-/// Why a request is not let in. No SETUP is sent for any of these.
+/// Why a request is not authorized. No SETUP is sent for a refused request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
+    /// The request carries no access token.
     NoToken,
+    /// The token exceeds the length limit.
     TokenTooLong,
+    /// The token cannot be decoded or lacks a required claim; the text says what is wrong.
     TokenMalformed(String),
+    /// The token names a key that is not in the issuer's key set.
     UnknownKey,
+    /// The token's key is outside its validity period.
     KeyNotInForce,
+    /// The token's signature does not verify.
     BadSignature,
+    /// The token has expired.
     Expired,
+    /// The token is not valid yet.
     NotYetValid,
+    /// The token was issued for another title or session.
     OtherTitle,
+    /// The token names a service group that is not in the settings.
     UnknownGroup,
+    /// The token lists no boxes that hold the title.
     NoHolders,
+    /// The request carries no DPoP proof.
     NoProof,
+    /// The proof exceeds the length limit.
     ProofTooLong,
+    /// The proof cannot be decoded; the text says what is wrong.
     ProofMalformed(String),
+    /// The proof's signature does not verify.
     ProofBadSignature,
+    /// The proof was signed with another key than the token is bound to.
     ProofOfOtherKey,
+    /// The proof was made for another method or URL.
     ProofForOtherRequest,
+    /// The proof was made for another token.
     ProofForOtherToken,
+    /// The proof is too old or was issued in the future.
     ProofStale,
+    /// The proof was used before.
     ProofUsed,
+    /// The replay cache is full.
     NoRoomForProofs,
 }
 
 impl Refusal {
-    /// The HTTP status: 401 where a better token or proof would help, 403 where this token gives no leave for
-    /// this, 503 where the front has no room to tell.
+    /// HTTP status: 401 if another token or proof may be accepted; 403 if the token does not authorize the request, or
+    /// the proof is of another key or was used before; 503 if the replay cache is full.
     pub fn http_status(&self) -> u16 {
         match self {
             Refusal::OtherTitle | Refusal::UnknownGroup | Refusal::NoHolders | Refusal::ProofUsed => 403,
@@ -51,7 +73,7 @@
         }
     }
 
-    /// A word for logs and answers; stays the same from version to version.
+    /// Machine-readable reason for logs and responses; stable across versions.
     pub fn reason(&self) -> &'static str {
         match self {
             Refusal::NoToken => "no-token",
@@ -80,37 +102,38 @@
 }
 
 impl From<KeyLookupError> for Refusal {
-    fn from(miss: KeyLookupError) -> Self {
-        match miss {
+    fn from(error: KeyLookupError) -> Self {
+        match error {
             KeyLookupError::Unknown => Refusal::UnknownKey,
             KeyLookupError::NotInForce => Refusal::KeyNotInForce,
         }
     }
 }
 
-/// The request that a token and proof came with.
+/// The request that carries a token and proof.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContext<'a> {
+    /// HTTP method.
     pub method: &'a str,
     /// Path of the manifest, without the query.
     pub path: &'a str,
-    /// The whole URL as this front is reached, without the query.
+    /// Full URL under the front's public address, without the query.
     pub url: &'a str,
     /// SHA-256 of the token as it was sent.
     pub token_hash: &'a [u8; 32],
 }
 
 impl AuthorizationPolicy {
-    /// How long a used proof has to be remembered.
+    /// How long a used proof must stay in the replay cache, in milliseconds.
     pub fn replay_window_ms(&self) -> UnixMs {
         self.max_proof_age_ms + 2.0 * self.clock_skew_ms
     }
 
-    /// Whether a token whose signature holds gives leave for this request.
+    /// Checks that a token with a valid signature authorizes this request.
     pub fn check_token(
         &self,
         claims: &ViewerClaims,
-        asked: RequestContext,
+        request: RequestContext,
         now: UnixMs,
     ) -> Result<(), Refusal> {
         if now >= claims.expires_at + self.clock_skew_ms {
@@ -119,7 +142,7 @@
         if claims.not_before.is_some_and(|t| now < t - self.clock_skew_ms) {
             return Err(Refusal::NotYetValid);
         }
-        if claims.manifest_path != asked.path {
+        if claims.manifest_path != request.path {
             return Err(Refusal::OtherTitle);
         }
         if claims.holders.is_empty() {
@@ -128,22 +151,22 @@
         Ok(())
     }
 
-    /// Whether a proof whose signature holds was made by the token's own viewer for this very request. It
-    /// still has to be entered as used.
+    /// Checks that a proof with a valid signature was made for this request and token, with the key that the token is
+    /// bound to. The caller still has to check it against the replay cache.
     pub fn check_proof(
         &self,
         claims: &ViewerClaims,
         proof: &ProofClaims,
-        asked: RequestContext,
+        request: RequestContext,
         now: UnixMs,
     ) -> Result<(), Refusal> {
         if proof.public_key != claims.viewer_key {
             return Err(Refusal::ProofOfOtherKey);
         }
-        if proof.method != asked.method || proof.url != asked.url {
+        if proof.method != request.method || proof.url != request.url {
             return Err(Refusal::ProofForOtherRequest);
         }
-        if proof.token_hash != *asked.token_hash {
+        if proof.token_hash != *request.token_hash {
             return Err(Refusal::ProofForOtherToken);
         }
         let age = now - proof.issued_at;
@@ -153,8 +176,9 @@
         Ok(())
     }
 
-    pub fn check_first_use(&self, use_: ReplayCheck) -> Result<(), Refusal> {
-        match use_ {
+    /// Turns the outcome of the replay cache into a decision.
+    pub fn check_first_use(&self, replay_check: ReplayCheck) -> Result<(), Refusal> {
+        match replay_check {
             ReplayCheck::FirstUse => Ok(()),
             ReplayCheck::Replayed => Err(Refusal::ProofUsed),
             ReplayCheck::CacheFull => Err(Refusal::NoRoomForProofs),
@@ -168,9 +192,9 @@
     use test_case::test_case;
 
     const NOW: UnixMs = 1e12;
-    const TERMS: AuthorizationPolicy =
+    const POLICY: AuthorizationPolicy =
         AuthorizationPolicy { max_proof_age_ms: 10_000.0, clock_skew_ms: 2_000.0 };
-    const ASKED: RequestContext =
+    const REQUEST: RequestContext =
         RequestContext { method: "GET", path: "/m/a.mpd", url: "http://front/m/a.mpd", token_hash: &[7; 32] };
 
     fn claims() -> ViewerClaims {
@@ -192,35 +216,35 @@
             public_key: [9; 32],
             id: "x".into(),
             method: "GET".into(),
-            url: ASKED.url.into(),
+            url: REQUEST.url.into(),
             issued_at: NOW,
             token_hash: [7; 32],
         }
     }
 
-    #[test_case(|_| {} => None; "good")]
+    #[test_case(|_| {} => None; "valid")]
     #[test_case(|c| c.expires_at = NOW - 2_000.0 => Some(Refusal::Expired); "expired beyond the skew")]
     #[test_case(|c| c.expires_at = NOW - 1_000.0 => None; "expired within the skew")]
     #[test_case(|c| c.not_before = Some(NOW + 2_001.0) => Some(Refusal::NotYetValid); "not yet valid")]
     #[test_case(|c| c.manifest_path = "/m/b.mpd".into() => Some(Refusal::OtherTitle); "other title")]
     #[test_case(|c| c.holders.clear() => Some(Refusal::NoHolders); "no holders")]
-    fn tokens(change: fn(&mut ViewerClaims)) -> Option<Refusal> {
-        let mut c = claims();
-        change(&mut c);
-        TERMS.check_token(&c, ASKED, NOW).err()
+    fn token_is_checked_against_policy_and_request(change: fn(&mut ViewerClaims)) -> Option<Refusal> {
+        let mut claims = claims();
+        change(&mut claims);
+        POLICY.check_token(&claims, REQUEST, NOW).err()
     }
 
-    #[test_case(|_| {} => None; "good")]
-    #[test_case(|p| p.public_key = [8; 32] => Some(Refusal::ProofOfOtherKey); "other phone's key")]
+    #[test_case(|_| {} => None; "valid")]
+    #[test_case(|p| p.public_key = [8; 32] => Some(Refusal::ProofOfOtherKey); "other viewer's key")]
     #[test_case(|p| p.url = "http://other/m/a.mpd".into() => Some(Refusal::ProofForOtherRequest); "other front")]
     #[test_case(|p| p.method = "POST".into() => Some(Refusal::ProofForOtherRequest); "other method")]
     #[test_case(|p| p.token_hash = [0; 32] => Some(Refusal::ProofForOtherToken); "other token")]
-    #[test_case(|p| p.issued_at = NOW - 12_001.0 => Some(Refusal::ProofStale); "too old")]
-    #[test_case(|p| p.issued_at = NOW + 2_001.0 => Some(Refusal::ProofStale); "from the future")]
-    #[test_case(|p| p.issued_at = f64::NAN => Some(Refusal::ProofStale); "no time at all")]
-    fn proofs(change: fn(&mut ProofClaims)) -> Option<Refusal> {
-        let mut p = proof();
-        change(&mut p);
-        TERMS.check_proof(&claims(), &p, ASKED, NOW).err()
+    #[test_case(|p| p.issued_at = NOW - 12_001.0 => Some(Refusal::ProofStale); "stale")]
+    #[test_case(|p| p.issued_at = NOW + 2_001.0 => Some(Refusal::ProofStale); "issued in the future")]
+    #[test_case(|p| p.issued_at = f64::NAN => Some(Refusal::ProofStale); "issue time is not a number")]
+    fn proof_is_checked_against_token_and_request(change: fn(&mut ProofClaims)) -> Option<Refusal> {
+        let mut proof = proof();
+        change(&mut proof);
+        POLICY.check_proof(&claims(), &proof, REQUEST, NOW).err()
     }
 }
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -1,48 +1,55 @@
-//! What a token and a proof of possession say once they are read; nothing here was checked yet.
+//! Claims of access tokens and DPoP proofs after decoding. The values have not been checked against a request yet.
 use crate::UnixMs;
 
-/// A viewer's token: leave for one title, given by the notices' publisher.
+/// Claims of a viewer's access token: authorization to watch one title, granted by the publisher of the title.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ViewerClaims {
-    /// Names the token in records (`cti`).
+    /// Identifies the token in records (`cti`).
     pub id: Vec<u8>,
-    /// Path of the manifest that it opens (`catu`, path, exact match).
+    /// Path of the manifest that the token grants access to (`catu`, path, exact match).
     pub manifest_path: String,
-    /// Service group, by its name in the settings.
+    /// Name of the service group in the settings.
     pub service_group: String,
-    /// Boxes that hold the title, by their numbers in the list.
+    /// Ids of the boxes that hold the title, as in the box list.
     pub holders: Vec<u32>,
-    /// The highest rung that the viewer can use; none: the group's.
+    /// Highest rung that the viewer can use; if absent, the service group's highest rung applies.
     pub max_rung: Option<u8>,
-    /// Whose utility it counts for; none where the deployment has no tenants.
+    /// Tenant to whose utility the session counts; absent in deployments without tenants.
     pub tenant: Option<String>,
+    /// Start of the token's validity (`nbf`).
     pub not_before: Option<UnixMs>,
+    /// End of the token's validity, exclusive (`exp`).
     pub expires_at: UnixMs,
-    /// Public key (Ed25519) whose holder may use the token (`cnf`).
+    /// Ed25519 public key that the token is bound to (`cnf`): each use needs a proof signed with its private key.
     pub viewer_key: [u8; 32],
 }
 
-/// A session's token: leave to fetch one session's segments at one box, given by the front.
+/// Claims of a session token: authorization to fetch the segments of one session from one box, issued by the front.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SessionClaims {
+    /// Session id (`sub`).
     pub session: u64,
+    /// Id of the box that serves the session (`aud`).
     pub server: u32,
-    /// Path under which the segments stand (`catu`, path, prefix match).
+    /// Path under which the segments are served (`catu`, path, prefix match).
     pub path_prefix: String,
+    /// End of the token's validity (`exp`).
     pub expires_at: UnixMs,
 }
 
-/// A proof that the sender of a request holds a key (RFC 9449).
+/// Claims of a DPoP proof: the sender of a request holds the private key of `public_key` (RFC 9449).
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProofClaims {
-    /// The key that signed it.
+    /// Ed25519 public key that verifies the proof's own signature (`jwk`).
     pub public_key: [u8; 32],
-    /// Unique to the proof (`jti`).
+    /// Unique id of the proof (`jti`).
     pub id: String,
-    /// Method and URL of the request that it was made for.
+    /// Method of the request that the proof was made for (`htm`).
     pub method: String,
+    /// URL of the request that the proof was made for (`htu`).
     pub url: String,
+    /// Time of issue (`iat`).
     pub issued_at: UnixMs,
-    /// SHA-256 of the token that it goes with (`ath`).
+    /// SHA-256 of the access token that is sent with the proof (`ath`).
     pub token_hash: [u8; 32],
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,9 +1,9 @@
-//! Who is let in, decided on plain values: no clock, no sockets, no codecs.
+//! Authorization decisions on plain values: no clock, no sockets, no codecs.
 //!
-//! - [`claims`]: what a token and a proof of possession say once they are read.
-//! - [`keys`]: which keys are in force when.
-//! - [`authorization`]: whether a request with its token and proof is let in, or why not.
-//! - [`replay`]: proofs that were used already.
+//! - [`claims`]: the claims of access tokens and of DPoP proofs, as decoded.
+//! - [`keys`]: key sets and the periods in which their keys are in force.
+//! - [`authorization`]: whether a request with its token and proof is authorized, or why it is refused.
+//! - [`replay`]: the cache of proofs that were used already.
 pub mod authorization;
 pub mod claims;
 pub mod keys;
--- a/crates/gate/src/replay.rs
+++ b/crates/gate/src/replay.rs
@@ -1,62 +1,76 @@
-//! Proofs that were used already. A proof is good for a short window around its issue; within it each may be used
-//! once at this front. (At another front it is worth nothing: a proof names the front in its URL.)
+//! Replay cache for DPoP proofs. A proof is valid for a short window around its time of issue, and within that window
+//! this front accepts it once. Other fronts need not share the cache, since a proof names the front in its URL.
 //!
-//! Two generations of hashes: a proof is looked up in both and entered in the young one. When the young one is a
-//! window old it becomes the old one; a proof is forgotten one to three windows after its use, when it has long been
-//! stale. Memory
-//! is bounded by `most` proofs a generation, 16 bytes each and the table's slack; what comes beyond that is
-//! refused, since to forget a proof early would be to let it in twice.
+//! The cache holds two generations of proof digests. A proof is looked up in both and inserted into the current one.
+//! Once the current generation is a window old, it becomes the previous one. A proof is thus evicted one to three
+//! windows after its use, when it is long stale. Memory is bounded by `max_per_generation` proofs of 16 bytes each in
+//! each generation, plus the overhead of the hash tables. Proofs beyond that are refused: evicting a proof early
+//! would allow it to be replayed.
 use crate::UnixMs;
 use std::collections::HashSet;
 
-/// The first 16 bytes of a SHA-256 over key and id: ids are the viewers' to choose, hashes are not.
+/// The first 16 bytes of a SHA-256 over the proof's key and id. Viewers choose the ids of their proofs, but cannot
+/// choose the digests.
 pub type ProofDigest = [u8; 16];
 
+/// Outcome of looking a proof up in the replay cache.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub enum ReplayCheck {
+    /// The proof was not in the cache and has been inserted.
     FirstUse,
+    /// The proof was used before.
     Replayed,
-    /// More proofs came within a window than there is room for.
+    /// The current generation is full, so the proof cannot be recorded.
     CacheFull,
 }
 
+/// Bounded cache of used proofs, in two generations.
 #[derive(Debug)]
 pub struct ReplayCache {
-    young: HashSet<ProofDigest>,
-    old: HashSet<ProofDigest>,
-    turned: UnixMs,
-    window: UnixMs,
-    most: usize,
+    current: HashSet<ProofDigest>,
+    previous: HashSet<ProofDigest>,
+    rotated_at: UnixMs,
+    window_ms: UnixMs,
+    max_per_generation: usize,
 }
 
 impl ReplayCache {
-    /// `window`: how long after its first possible use a proof may still be within its time.
-    pub fn new(window: UnixMs, most: usize) -> Self {
-        ReplayCache { young: HashSet::new(), old: HashSet::new(), turned: UnixMs::NEG_INFINITY, window, most }
+    /// Creates an empty cache. `window_ms` is how long after its first possible use a proof may still be valid.
+    pub fn new(window_ms: UnixMs, max_per_generation: usize) -> Self {
+        ReplayCache {
+            current: HashSet::new(),
+            previous: HashSet::new(),
+            rotated_at: UnixMs::NEG_INFINITY,
+            window_ms,
+            max_per_generation,
+        }
     }
 
-    pub fn check_and_insert(&mut self, mark: ProofDigest, now: UnixMs) -> ReplayCheck {
-        if now - self.turned >= self.window {
-            self.old = std::mem::take(&mut self.young);
-            if now - self.turned >= 2.0 * self.window {
-                self.old.clear();
+    /// Checks whether the proof was used before and records it if it was not.
+    pub fn check_and_insert(&mut self, digest: ProofDigest, now: UnixMs) -> ReplayCheck {
+        if now - self.rotated_at >= self.window_ms {
+            self.previous = std::mem::take(&mut self.current);
+            if now - self.rotated_at >= 2.0 * self.window_ms {
+                self.previous.clear();
             }
-            self.turned = now;
+            self.rotated_at = now;
         }
-        if self.young.contains(&mark) || self.old.contains(&mark) {
+        if self.current.contains(&digest) || self.previous.contains(&digest) {
             ReplayCheck::Replayed
-        } else if self.young.len() >= self.most {
+        } else if self.current.len() >= self.max_per_generation {
             ReplayCheck::CacheFull
         } else {
-            self.young.insert(mark);
+            self.current.insert(digest);
             ReplayCheck::FirstUse
         }
     }
 
+    /// Number of proofs held in both generations.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 
+    /// Whether no proof is held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -69,36 +83,38 @@
     use std::collections::HashMap;
 
     proptest! {
-        /// Beside a plain map of all that was ever entered: nothing is let in twice within a window, nothing
-        /// is called used that was not, and memory stays within two generations.
+        /// Compares the cache with a map of all proofs ever inserted: no proof is accepted twice within a window, none
+        /// is called replayed that was not used, and memory stays within two generations.
         #[test]
-        fn never_twice_within_a_window(steps in prop::collection::vec((0u8..30, 0.0..40.0f64), 1..200)) {
-            let mut used = ReplayCache::new(100.0, 10);
-            let mut seen: HashMap<u8, f64> = HashMap::new();
+        fn proof_is_never_accepted_twice_within_a_window(
+            steps in prop::collection::vec((0u8..30, 0.0..40.0f64), 1..200),
+        ) {
+            let mut cache = ReplayCache::new(100.0, 10);
+            let mut accepted_at: HashMap<u8, f64> = HashMap::new();
             let mut now = 0.0;
-            for (id, wait) in steps {
-                now += wait;
-                let mark = [id; 16];
-                match used.check_and_insert(mark, now) {
+            for (id, wait_ms) in steps {
+                now += wait_ms;
+                let digest = [id; 16];
+                match cache.check_and_insert(digest, now) {
                     ReplayCheck::FirstUse => {
-                        let before = seen.insert(id, now);
-                        prop_assert!(before.is_none_or(|t| now - t >= 100.0), "let in twice: {id} {before:?} {now}");
+                        let before = accepted_at.insert(id, now);
+                        prop_assert!(before.is_none_or(|t| now - t >= 100.0), "accepted twice: {id} {before:?} {now}");
                     }
-                    ReplayCheck::Replayed => prop_assert!(seen[&id] > now - 300.0),
-                    ReplayCheck::CacheFull => prop_assert!(used.len() >= 10),
+                    ReplayCheck::Replayed => prop_assert!(accepted_at[&id] > now - 300.0),
+                    ReplayCheck::CacheFull => prop_assert!(cache.len() >= 10),
                 }
-                prop_assert!(used.len() <= 20);
+                prop_assert!(cache.len() <= 20);
             }
         }
     }
 
     #[test]
-    fn beyond_the_most_nothing_is_forgotten() {
-        let mut used = ReplayCache::new(100.0, 2);
-        assert_eq!(used.check_and_insert([1; 16], 0.0), ReplayCheck::FirstUse);
-        assert_eq!(used.check_and_insert([2; 16], 0.0), ReplayCheck::FirstUse);
-        assert_eq!(used.check_and_insert([3; 16], 0.0), ReplayCheck::CacheFull);
-        assert_eq!(used.check_and_insert([1; 16], 99.0), ReplayCheck::Replayed);
-        assert_eq!(used.check_and_insert([3; 16], 100.0), ReplayCheck::FirstUse);
+    fn full_cache_evicts_no_proof_early() {
+        let mut cache = ReplayCache::new(100.0, 2);
+        assert_eq!(cache.check_and_insert([1; 16], 0.0), ReplayCheck::FirstUse);
+        assert_eq!(cache.check_and_insert([2; 16], 0.0), ReplayCheck::FirstUse);
+        assert_eq!(cache.check_and_insert([3; 16], 0.0), ReplayCheck::CacheFull);
+        assert_eq!(cache.check_and_insert([1; 16], 99.0), ReplayCheck::Replayed);
+        assert_eq!(cache.check_and_insert([3; 16], 100.0), ReplayCheck::FirstUse);
     }
 }
