--- a/crates/control/src/event_stream.rs
+++ b/crates/control/src/event_stream.rs
@@ -1,21 +1,26 @@
-//! The event stream that the list comes by (server-sent events, WHATWG HTML, section 9.2): a reader that is handed
-//! bytes as they come, and a writer.
+//! Server-sent events (WHATWG HTML, section 9.2), the format of the event stream that carries the list of boxes: an
+//! incremental parser and an encoder.
 
-/// Longest event that is taken, in bytes: a list of some thousand boxes.
+/// Longest event that is accepted. It has room for a list of several thousand boxes.
 pub const MAX_EVENT_BYTES: usize = 4 << 20;
 
+/// One event of the stream.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Event {
-    /// The number that the stream is resumed from, where the event carries one.
+    /// Number from which the stream can be resumed, if the event carries one.
     pub id: Option<u64>,
+    /// Event type; empty if the event carries none.
     pub name: String,
+    /// Payload; its lines are separated by `\n`.
     pub data: String,
 }
 
+/// Why an event stream could not be parsed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EventStreamError {
-    /// Bytes of the stream before the line at fault.
+    /// Offset of the invalid line in the stream, in bytes.
     pub offset: usize,
+    /// What is wrong with the line.
     pub reason: String,
 }
 
@@ -25,52 +30,56 @@
     }
 }
 
+/// Incremental parser of an event stream.
 #[derive(Debug, Default)]
 pub struct EventReader {
     line: Vec<u8>,
     after_cr: bool,
-    at: usize,
+    /// Offset of the current line in the stream, in bytes.
+    offset: usize,
     event: Event,
     has_data: bool,
 }
 
 impl EventReader {
-    /// Takes bytes; returns the events that they complete. After an error the stream is of no more use.
+    /// Parses the next bytes of the stream and returns the events that they complete. The reader must not be used after
+    /// an error.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventStreamError> {
         let mut events = Vec::new();
-        for &b in bytes {
-            let ends = match b {
+        for &byte in bytes {
+            let line_ends = match byte {
                 b'\n' if self.after_cr => false,
                 b'\n' | b'\r' => true,
                 _ => {
-                    self.line.push(b);
+                    self.line.push(byte);
                     false
                 }
             };
-            self.after_cr = b == b'\r';
-            if ends {
+            self.after_cr = byte == b'\r';
+            if line_ends {
                 let line = std::mem::take(&mut self.line);
-                let len = line.len();
-                events.extend(self.take_line(line)?);
-                self.at += len;
+                let line_len = line.len();
+                events.extend(self.parse_line(line)?);
+                self.offset += line_len;
             }
-            self.at += usize::from(b == b'\n' || b == b'\r');
+            self.offset += usize::from(byte == b'\n' || byte == b'\r');
             if self.line.len() + self.event.data.len() > MAX_EVENT_BYTES {
-                return Err(self.bad(format!("an event of more than {MAX_EVENT_BYTES} bytes")));
+                return Err(self.error(format!("event longer than {MAX_EVENT_BYTES} bytes")));
             }
         }
         Ok(events)
     }
 
-    fn bad(&self, why: String) -> EventStreamError {
-        EventStreamError { offset: self.at, reason: why }
+    fn error(&self, reason: String) -> EventStreamError {
+        EventStreamError { offset: self.offset, reason }
     }
 
-    fn take_line(&mut self, line: Vec<u8>) -> Result<Option<Event>, EventStreamError> {
-        let line = String::from_utf8(line).map_err(|e| self.bad(format!("not UTF-8: {e}")))?;
+    /// Parses a complete line; returns the event if the line is the empty one that ends it.
+    fn parse_line(&mut self, line: Vec<u8>) -> Result<Option<Event>, EventStreamError> {
+        let line = String::from_utf8(line).map_err(|e| self.error(format!("not UTF-8: {e}")))?;
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
-            // An event without data is none; comments keep the connection alive.
+            // An event without data is not dispatched. Comments are skipped: they only keep the connection alive.
             return Ok(std::mem::take(&mut self.has_data).then_some(event));
         }
         let (field, value) = line.split_once(':').unwrap_or((&line, ""));
@@ -84,7 +93,7 @@
                 self.event.data.push_str(value);
             }
             "id" => {
-                let id = value.parse().map_err(|_| self.bad(format!("id {value:?} is not a number")))?;
+                let id = value.parse().map_err(|_| self.error(format!("id {value:?} is not a number")))?;
                 self.event.id = Some(id);
             }
             _ => {}
@@ -93,6 +102,7 @@
     }
 }
 
+/// Encodes an event.
 pub fn encode(event: &Event) -> String {
     let mut text = String::new();
     if let Some(id) = event.id {
@@ -114,37 +124,37 @@
 
     proptest! {
         #[test]
-        fn any_cut_of_a_stream_gives_the_same_events(
+        fn events_are_parsed_regardless_of_chunk_boundaries(
             events in prop::collection::vec(("[a-z]{0,5}", "[^\r]{0,40}", any::<Option<u64>>()), 0..5),
-            cuts in prop::collection::vec(1usize..20, 1..20),
+            chunk_lengths in prop::collection::vec(1usize..20, 1..20),
         ) {
-            let wanted: Vec<Event> =
+            let expected: Vec<Event> =
                 events.into_iter().map(|(name, data, id)| Event { id, name, data }).collect();
-            let text: String = wanted.iter().map(encode).collect();
-            let (mut reader, mut got, mut rest) = (EventReader::default(), Vec::new(), text.as_bytes());
-            for cut in cuts.iter().cycle() {
+            let text: String = expected.iter().map(encode).collect();
+            let (mut reader, mut parsed, mut rest) = (EventReader::default(), Vec::new(), text.as_bytes());
+            for chunk_len in chunk_lengths.iter().cycle() {
                 if rest.is_empty() {
                     break;
                 }
-                let (now, later) = rest.split_at((*cut).min(rest.len()));
-                got.extend(reader.push(now).unwrap());
-                rest = later;
+                let (chunk, remaining) = rest.split_at((*chunk_len).min(rest.len()));
+                parsed.extend(reader.push(chunk).unwrap());
+                rest = remaining;
             }
-            prop_assert_eq!(got, wanted);
+            prop_assert_eq!(parsed, expected);
         }
 
         #[test]
-        fn rubbish_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
             let _ = EventReader::default().push(&bytes);
         }
     }
 
     #[test]
-    fn errors_name_their_place() {
-        let mut r = EventReader::default();
-        r.push(b": hello\r\n\r\nid: 4\r\n").unwrap();
+    fn errors_carry_the_offset_of_the_line() {
+        let mut reader = EventReader::default();
+        reader.push(b": hello\r\n\r\nid: 4\r\n").unwrap();
         assert_eq!(
-            r.push(b"id: x\n").unwrap_err(),
+            reader.push(b"id: x\n").unwrap_err(),
             EventStreamError { offset: 18, reason: "id \"x\" is not a number".into() }
         );
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! Codecs of the boxes' side: bytes to plain values and back, no decision.
+//! Codecs for the control of boxes. They convert between bytes and plain values and take no decisions.
 //!
-//! - [`rtsp`]: the control messages between front and box (RTSP 2.0, RFC 7826).
-//! - [`box_list`]: the document of the list of boxes.
-//! - [`event_stream`]: the event stream that the list comes by (server-sent events, WHATWG HTML).
+//! - [`rtsp`]: control messages between front and box (RTSP 2.0, RFC 7826).
+//! - [`box_list`]: the list of boxes, as a JSON document.
+//! - [`event_stream`]: the event stream that carries the list (server-sent events, WHATWG HTML).
 pub mod box_list;
 pub mod event_stream;
 pub mod rtsp;
