--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -8,10 +8,10 @@
 use std::process::{Child, Command as Process, Stdio};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use walnutline_control::list::{Line, State};
-use walnutline_control::rtsp::{self, Ask, Message, Reader};
-use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
-use walnutline_gate::claims::{Claims, Proof, SessionClaims};
+use walnutline_control::box_list::{BoxEntry, BoxState};
+use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
+use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
+use walnutline_gate::claims::{ProofClaims, SessionClaims, ViewerClaims};
 use walnutline_rehearsal::boxes::{self, Common};
 use walnutline_rehearsal::deployment::{self, Folder};
 use walnutline_rehearsal::depot::Depot;
@@ -112,8 +112,8 @@
         let mut kind = deployment::kind(&script);
         (kind.streams, kind.link_kb, kind.uplink_kb) = (1_000_000, 1e10, 1e11);
         let (issuer, key) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[2; 32]));
-        folder.write("k1.pub", &to_base64(issuer.verifying_key().as_bytes()))?;
-        folder.write("f0.secret", &to_base64(key.as_bytes()))?;
+        folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
+        folder.write("f0.secret", &encode_base64url(key.as_bytes()))?;
         let (listing, list) = Listing::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
         // The terms' limits stay; only what a depot carries is out of the way.
         let document = deployment::document(&script, &kind, &deployment::terms(), list, 0);
@@ -126,17 +126,17 @@
         let mut started = Vec::new();
         for server in 0..BOXES {
             let p = boxes::Process::start(&common, server, false).map_err(|e| format!("box: {e}"))?;
-            let line = Line {
+            let line = BoxEntry {
                 id: server,
                 name: format!("box-{server}"),
-                state: State::Ready,
+                state: BoxState::Ready,
                 rack: server % 3,
                 building: 0,
                 kind: 0,
                 weight: 1.0,
-                started: None,
-                control: p.control,
-                media: format!("http://{}", p.media),
+                started_at_ms: None,
+                control_addr: p.control,
+                media_url: format!("http://{}", p.media),
             };
             listing.change(vec![line]);
             started.push(p);
@@ -191,30 +191,30 @@
 
     pub fn through(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
         let viewer = SigningKey::from_bytes(&[3; 32]);
-        let claims = Claims {
+        let claims = ViewerClaims {
             id: vec![1],
-            path: "/m/bench.mpd".into(),
-            group: "council-notice".into(),
+            manifest_path: "/m/bench.mpd".into(),
+            service_group: "council-notice".into(),
             holders: (0..BOXES / 2).collect(),
-            top: None,
+            max_rung: None,
             tenant: None,
             not_before: None,
-            expires: now() + 600_000.0,
+            expires_at: now() + 600_000.0,
             viewer_key: viewer.verifying_key().to_bytes(),
         };
         let token = token::mint(&claims, b"k1", &self.issuer);
         let begun = now();
         let request = |no: u32, n: u32| {
-            let made = Proof {
-                key: claims.viewer_key,
+            let made = ProofClaims {
+                public_key: claims.viewer_key,
                 id: format!("{begun}-{no}-{n}"),
                 method: "GET".into(),
-                url: format!("http://{}{}", self.address, claims.path),
-                issued: now(),
+                url: format!("http://{}{}", self.address, claims.manifest_path),
+                issued_at: now(),
                 token_hash: token_hash(&token),
             };
             let proof = proof::mint(&made, &viewer);
-            let head = format!("GET {} HTTP/1.1\r\nHost: b\r\n", claims.path);
+            let head = format!("GET {} HTTP/1.1\r\nHost: b\r\n", claims.manifest_path);
             format!("{head}CTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n").into_bytes()
         };
         load(rate, seconds, connections, self.address, &request, &|stream, rest| {
@@ -229,27 +229,32 @@
 
     fn straight(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
         let server = &self.boxes[0];
-        let request = |no: u32, n: u32| {
+        let encoded_setup = |no: u32, n: u32| {
             let session = u64::from(no) << 32 | u64::from(n);
             let path = format!("/s/{session}/");
-            let claims = SessionClaims { session, server: server.server, path, expires: now() + 600_000.0 };
-            let ask = Ask::Setup {
+            let claims = SessionClaims {
+                session,
+                server: server.server,
+                path_prefix: path,
+                expires_at: now() + 600_000.0,
+            };
+            let request = ControlRequest::Setup {
                 title: "bench".into(),
-                group: "council-notice".into(),
+                service_group: "council-notice".into(),
                 rung: 0,
                 front_session: session,
                 token: token::mint_session(&claims, b"f0", &self.key),
             };
-            rtsp::write(&Message::Ask { cseq: n + 1, ask }, "127.0.0.1").expect("a plain host")
+            rtsp::encode(&Message::Request { cseq: n + 1, request }, "127.0.0.1").expect("a plain host")
         };
-        load(rate, seconds, connections, server.control, &request, &|stream, rest| {
+        load(rate, seconds, connections, server.control, &encoded_setup, &|stream, rest| {
             let mut bytes = [0; 4_096];
-            let mut reader = Reader::default();
+            let mut reader = MessageReader::default();
             reader.push(&std::mem::take(rest));
             loop {
                 // The box also says when earlier sessions end.
                 while let Some(m) = reader.next_message().map_err(|e| e.to_string())? {
-                    if let Message::Reply { status, .. } = m {
+                    if let Message::Response { status, .. } = m {
                         return if status == 200 { Ok(()) } else { Err(format!("box answered {status}")) };
                     }
                 }
@@ -331,44 +336,44 @@
 /// What the parts of a request's way cost by themselves, on this machine in this run.
 fn parts() -> Result<(), String> {
     let (issuer, viewer) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[3; 32]));
-    let claims = Claims {
+    let claims = ViewerClaims {
         id: vec![1],
-        path: "/m/bench.mpd".into(),
-        group: "council-notice".into(),
+        manifest_path: "/m/bench.mpd".into(),
+        service_group: "council-notice".into(),
         holders: (0..6).collect(),
-        top: None,
+        max_rung: None,
         tenant: None,
         not_before: None,
-        expires: 2e12,
+        expires_at: 2e12,
         viewer_key: viewer.verifying_key().to_bytes(),
     };
     let text = token::mint(&claims, b"k1", &issuer);
-    let made = Proof {
-        key: claims.viewer_key,
+    let made = ProofClaims {
+        public_key: claims.viewer_key,
         id: "a".into(),
         method: "GET".into(),
         url: "http://127.0.0.1:8080/m/bench.mpd".into(),
-        issued: 1e12,
+        issued_at: 1e12,
         token_hash: token_hash(&text),
     };
     let proof_text = proof::mint(&made, &viewer);
-    let session = SessionClaims { session: 1, server: 1, path: "/s/1/".into(), expires: 2e12 };
-    let told = mpd::Told {
+    let session = SessionClaims { session: 1, server: 1, path_prefix: "/s/1/".into(), expires_at: 2e12 };
+    let told = mpd::ManifestParams {
         title: "bench",
         base_url: "http://127.0.0.1:9/s/1/token/".into(),
         location: "http://127.0.0.1:8/s/1.mpd".into(),
-        started: 1e12,
-        published: 1e12,
-        update_period: 2_000.0,
-        segment: 500.0,
+        started_at_ms: 1e12,
+        published_at_ms: 1e12,
+        update_period_ms: 2_000.0,
+        segment_duration_ms: 500.0,
         rungs: vec![(0, 200.0), (1, 400.0), (2, 700.0), (3, 1_200.0)],
     };
     let key = issuer.verifying_key();
     println!("parts, us each:");
-    time("check the viewer's token", || token::open(&text, |_| Ok(key)).is_ok());
-    time("check its proof", || proof::open(&proof_text).is_ok());
+    time("check the viewer's token", || token::verify(&text, |_| Ok(key)).is_ok());
+    time("check its proof", || proof::verify(&proof_text).is_ok());
     time("sign the session's token", || !token::mint_session(&session, b"f", &viewer).is_empty());
-    time("write the manifest", || mpd::write(&told).is_ok());
+    time("write the manifest", || mpd::to_xml(&told).is_ok());
     Ok(())
 }
 
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -3,7 +3,7 @@
 use crate::hub::{Plays, Reply};
 use crate::Shared;
 use walnutline_dash::mpd;
-use walnutline_gate::verdict::Refusal;
+use walnutline_gate::authorization::Refusal;
 
 pub fn write(shared: &Shared, reply: &Reply) -> Response {
     match reply {
@@ -23,7 +23,7 @@
 }
 
 pub fn refused(refusal: &Refusal) -> Response {
-    let status = refusal.status();
+    let status = refusal.http_status();
     if status == 503 {
         return busy(refusal.reason(), 1_000.0);
     }
@@ -43,20 +43,20 @@
     let in_force = group.floor..=plays.rung.max(group.floor);
     let ladder = ticket.rates.as_deref().unwrap_or(&shared.ladder);
     let rate = |rung: u8| Some((rung, ladder.get(rung as usize)? * group.scale));
-    let told = mpd::Told {
+    let told = mpd::ManifestParams {
         title: &ticket.title,
         base_url: format!("{}/s/{}/{token}/", plays.media, ticket.id.0),
         location: format!("{}/s/{}.mpd?CAT={token}", shared.public_url, ticket.id.0),
-        started: ticket.at,
-        published: now,
-        update_period: shared.manifest.update,
-        segment: shared.manifest.segment,
+        started_at_ms: ticket.at,
+        published_at_ms: now,
+        update_period_ms: shared.manifest.update,
+        segment_duration_ms: shared.manifest.segment,
         rungs: in_force.filter_map(rate).collect(),
     };
     Ok(Response {
         status: 200,
         headers: Vec::new(),
-        body: mpd::write(&told)?,
+        body: mpd::to_xml(&told)?,
         content_type: "application/dash+xml",
     })
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,13 +1,13 @@
-//! Who is let in, decided on plain values: no clock, no sockets, no codecs.
+//! Authorization decisions on plain values: no clock, no sockets, no codecs.
 //!
-//! - [`claims`]: what a token and a proof of possession say once they are read.
-//! - [`keys`]: which keys are in force when.
-//! - [`verdict`]: whether a request with its token and proof is let in, or why not.
-//! - [`used`]: proofs that were used already.
+//! - [`claims`]: the claims of access tokens and of DPoP proofs, as decoded.
+//! - [`keys`]: key sets and the periods in which their keys are in force.
+//! - [`authorization`]: whether a request with its token and proof is authorized, or why it is refused.
+//! - [`replay`]: the cache of proofs that were used already.
+pub mod authorization;
 pub mod claims;
 pub mod keys;
-pub mod used;
-pub mod verdict;
+pub mod replay;
 
 /// Milliseconds since the Unix epoch, with fractions.
 pub type UnixMs = f64;
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -17,8 +17,8 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use walnutline_control::list::{Line, State};
-use walnutline_dash::{to_base64, SigningKey};
+use walnutline_control::box_list::{BoxEntry, BoxState};
+use walnutline_dash::{encode_base64url, SigningKey};
 
 #[derive(clap::Args)]
 pub struct Args {
@@ -140,13 +140,13 @@
         let mut rng = StdRng::seed_from_u64(script.seed);
         let kind = kind(&script);
         let issuer = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
-        folder.write("k1.pub", &to_base64(issuer.verifying_key().as_bytes()))?;
+        folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
         let mut front_keys = BTreeMap::new();
         let (listing, list) =
             Listing::start(seen.clone(), LIST_DELAY).map_err(|e| format!("the list: {e}"))?;
         for front in 0..script.fronts {
             let key = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
-            folder.write(&format!("f{front}.secret"), &to_base64(key.as_bytes()))?;
+            folder.write(&format!("f{front}.secret"), &encode_base64url(key.as_bytes()))?;
             front_keys.insert(format!("f{front}").into_bytes(), (front, key.verifying_key()));
         }
         let titles: Vec<Title> = (0..TITLES)
@@ -208,17 +208,17 @@
 
     fn start_box(&mut self, server: u32, cold: bool) -> Result<(), String> {
         let p = Process::start(&self.common, server, cold).map_err(|e| format!("box {server}: {e}"))?;
-        let line = Line {
+        let line = BoxEntry {
             id: server,
             name: format!("box-{server}"),
-            state: State::Ready,
+            state: BoxState::Ready,
             rack: server % self.script.racks,
             building: 0,
             kind: 0,
             weight: 1.0,
-            started: cold.then(|| self.seen.now()),
-            control: p.control,
-            media: format!("http://{}", p.media),
+            started_at_ms: cold.then(|| self.seen.now()),
+            control_addr: p.control,
+            media_url: format!("http://{}", p.media),
         };
         self.boxes.insert(server, p);
         self.listing.change(vec![line]);
@@ -365,7 +365,7 @@
             Trouble::Kill(which) => {
                 for server in self.pick(&which) {
                     self.kill_box(server, "killed");
-                    self.listing.set_state(server, State::Gone);
+                    self.listing.set_state(server, BoxState::Gone);
                 }
             }
             Trouble::Restart(which) => {
@@ -426,7 +426,7 @@
         match what {
             Later::Drain(wave) => {
                 for server in wave {
-                    self.listing.set_state(server, State::Draining);
+                    self.listing.set_state(server, BoxState::Draining);
                     self.later.push((now + DRAIN_TO_DEATH, Later::Kill(server)));
                 }
             }
@@ -435,7 +435,7 @@
                 self.later.push((now + 50.0, Later::Gone(server)));
             }
             Later::Gone(server) => {
-                self.listing.set_state(server, State::Gone);
+                self.listing.set_state(server, BoxState::Gone);
                 self.later.push((now + 200.0, Later::StartCold(server)));
             }
             Later::StartCold(server) => self.start_box(server, true)?,
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
-use walnutline_dash::{mpd, proof, to_base64, token, token_hash, SigningKey};
-use walnutline_gate::claims::{Claims, Proof};
+use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
+use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Habits, from the briefs' ranges: how many come again after a break or busy reply, and when; how often; how
 /// many leave before their answer; the share under which a viewer begins to leave.
@@ -126,15 +126,15 @@
         let group = self.pick_group(&mut rng);
         let mut length = rng.random_range(self.sessions.0..=self.sessions.1);
         let title = &self.titles[title];
-        let claims = Claims {
+        let claims = ViewerClaims {
             id: viewer.to_be_bytes().to_vec(),
-            path: format!("/m/{}.mpd", title.name),
-            group: group.name.clone(),
+            manifest_path: format!("/m/{}.mpd", title.name),
+            service_group: group.name.clone(),
             holders: title.holders.clone(),
-            top: None,
+            max_rung: None,
             tenant: None,
             not_before: None,
-            expires: self.seen.now() + 600_000.0,
+            expires_at: self.seen.now() + 600_000.0,
             viewer_key: key.verifying_key().to_bytes(),
         };
         let token = token::mint(&claims, &self.key_id, &self.issuer);
@@ -164,7 +164,7 @@
     fn try_once(
         &self,
         viewer: u64,
-        claims: &Claims,
+        claims: &ViewerClaims,
         group: &GroupTerms,
         token: &str,
         key: &SigningKey,
@@ -181,26 +181,26 @@
         let Ok(mut stream) = Timed::connect(address) else {
             return End::Again(0.0);
         };
-        let url = format!("http://{address}{}", claims.path);
-        let made = Proof {
-            key: claims.viewer_key,
-            id: to_base64(&rng.random::<[u8; 12]>()),
+        let url = format!("http://{address}{}", claims.manifest_path);
+        let made = ProofClaims {
+            public_key: claims.viewer_key,
+            id: encode_base64url(&rng.random::<[u8; 12]>()),
             method: "GET".into(),
             url,
-            issued: self.seen.now(),
+            issued_at: self.seen.now(),
             token_hash: token_hash(token),
         };
         let proof = proof::mint(&made, key);
         let req = self.reqs.fetch_add(1, Ordering::SeqCst);
         let text = format!(
             "GET {} HTTP/1.1\r\nHost: {address}\r\nCTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n",
-            claims.path
+            claims.manifest_path
         );
         let asked = Seen::Asked {
             viewer,
             req,
             front: *front,
-            title: claims.path.clone(),
+            title: claims.manifest_path.clone(),
             group: group.name.clone(),
             wait: group.patience,
         };
@@ -231,7 +231,7 @@
             }
         };
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-        let manifest = (status == 200).then(|| mpd::read(&String::from_utf8_lossy(&body)));
+        let manifest = (status == 200).then(|| mpd::from_xml(&String::from_utf8_lossy(&body)));
         let plays = manifest.and_then(|m| m.map_err(|e| eprintln!("viewer {viewer}: {e}")).ok());
         let session = plays.as_ref().and_then(session_of);
         let server = session.as_ref().and_then(|(_, token)| server_of(token));
@@ -272,7 +272,9 @@
         let mut number = 1;
         while *length > 0.0 {
             let began = self.seen.now();
-            let Some(rep) = plays.period.set.representations.last() else { return End::Again(0.0) };
+            let Some(rep) = plays.period.adaptation_set.representations.last() else {
+                return End::Again(0.0);
+            };
             media.reads_within(self.segment * 10.0);
             let ask = format!("GET {base}{}/{number}.m4s HTTP/1.1\r\nHost: {host}\r\n\r\n", rep.id);
             let got = media.write_all(ask.as_bytes()).and_then(|()| read_head(&mut media, &mut in_buffer));
@@ -312,7 +314,7 @@
     let head = read_head(front, buffer)?.ok_or(ErrorKind::UnexpectedEof)?;
     let body = read_body(front, buffer, &head)?;
     front.reads_freely();
-    Ok(if head.contains(" 200 ") { mpd::read(&String::from_utf8_lossy(&body)).ok() } else { None })
+    Ok(if head.contains(" 200 ") { mpd::from_xml(&String::from_utf8_lossy(&body)).ok() } else { None })
 }
 
 fn split_url(url: &str) -> Option<(SocketAddr, String)> {
@@ -329,5 +331,5 @@
 
 /// The box that a session's token is for, read without a key: a viewer has none.
 fn server_of(token: &str) -> Option<u32> {
-    token::peek_session(token).map(|c| c.server)
+    token::decode_session_unverified(token).map(|c| c.server)
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -9,10 +9,10 @@
     ServiceGroup as TermsGroup, WeightKind,
 };
 use walnutline_catalogue::news::Price;
-use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
+use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
-use walnutline_gate::keys::{Entry, Ring};
-use walnutline_gate::verdict::Admission;
+use walnutline_gate::authorization::AuthorizationPolicy;
+use walnutline_gate::keys::{KeyEntry, KeySet};
 use walnutline_gate::UnixMs;
 
 /// Faults by their place in the text.
@@ -166,9 +166,9 @@
         },
         rates: c.rates.unwrap_or(true),
     });
-    let admission = Admission {
-        proof_age: f.time(d.tokens.proof_age, "proof-age"),
-        clock_skew: f.within(d.tokens.clock_skew, "clock-skew", 0.0, 3_600_000.0),
+    let admission = AuthorizationPolicy {
+        max_proof_age_ms: f.time(d.tokens.proof_age, "proof-age"),
+        clock_skew_ms: f.within(d.tokens.clock_skew, "clock-skew", 0.0, 3_600_000.0),
     };
     let proofs = f.whole(d.tokens.proofs, "proofs", 1.0, 1e8) as usize;
     let point =
@@ -264,7 +264,7 @@
     folder: &Path,
     f: &mut Faults,
     read: impl Fn(&[u8; 32]) -> Result<K, String>,
-) -> Option<Ring<K>> {
+) -> Option<KeySet<K>> {
     if keys.is_empty() {
         f.tell(at, format!("{name}: at least one is needed"));
     }
@@ -275,7 +275,7 @@
         let path = folder.join(&k.file.value);
         let key = std::fs::read_to_string(&path)
             .map_err(|e| e.to_string())
-            .and_then(|text| from_base64(text.trim()))
+            .and_then(|text| decode_base64url(text.trim()))
             .and_then(|bytes| <[u8; 32]>::try_from(bytes).map_err(|_| "not 32 bytes".to_owned()))
             .and_then(|bytes| read(&bytes));
         match (key, from, until) {
@@ -283,13 +283,18 @@
                 if from >= until {
                     f.tell(k.id.at, format!("{name}: its until is not after its from"));
                 }
-                entries.push(Entry { id: k.id.value.clone().into_bytes(), key, from, until });
+                entries.push(KeyEntry {
+                    id: k.id.value.clone().into_bytes(),
+                    key,
+                    valid_from: from,
+                    valid_until: until,
+                });
             }
             (Err(e), ..) => f.tell(k.file.at, format!("{name}: file {}: {e}", path.display())),
             _ => {}
         }
     }
-    match Ring::new(entries) {
+    match KeySet::new(entries) {
         Ok(ring) => Some(ring),
         Err(id) => {
             let id = String::from_utf8_lossy(&id).into_owned();
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -34,7 +34,7 @@
     let folder = std::env::temp_dir().join(format!("walnutline-settings-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let key = SigningKey::from_bytes(&[3; 32]);
-    let text = |bytes: &[u8]| walnutline_dash::to_base64(bytes) + "\n";
+    let text = |bytes: &[u8]| walnutline_dash::encode_base64url(bytes) + "\n";
     std::fs::write(folder.join("k1.pub"), text(key.verifying_key().as_bytes())).unwrap();
     std::fs::write(folder.join("f1.secret"), text(key.as_bytes())).unwrap();
     folder
@@ -58,7 +58,7 @@
     assert_eq!(d.terms.retry_budget.map(|b| b.free_retries), Some(5.0));
     assert!(d.terms.reports_by_probe && d.terms.max_retry_after.is_some());
     assert_eq!(d.list_path, "/boxes");
-    assert!(d.session.signer(1.9e12).is_some() && d.session.signer(2e12).is_none());
+    assert!(d.session.signing_key(1.9e12).is_some() && d.session.signing_key(2e12).is_none());
 }
 
 #[test]
