--- a/crates/catalogue-store/tests/crashes.rs
+++ b/crates/catalogue-store/tests/crashes.rs
@@ -6,14 +6,14 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 use walnutline::ids::ServerId;
-use walnutline_catalogue::change::{Change, Numbered, Title};
-use walnutline_catalogue::version::{Builder, Version};
-use walnutline_catalogue_store::{snapshots, write_snapshot, Store};
+use walnutline_catalogue::change::{Change, NumberedChange, Title};
+use walnutline_catalogue::version::{Version, VersionBuilder};
+use walnutline_catalogue_store::{list_snapshots, write_snapshot, Store};
 
 const FOLDER: &str = "WALNUTLINE_TEST_FOLDER";
 
 /// The change of a number, the same in every process.
-fn change(number: u64) -> Numbered {
+fn change(number: u64) -> NumberedChange {
     let mut rng = fastrand::Rng::with_seed(number);
     // Each round goes over all titles: first they are put, then each box in turn is added, then taken off.
     let (title, round) = ((number - 1) % 97, (number - 1) / 97);
@@ -22,24 +22,27 @@
     let change = match round {
         0 => {
             let rates = vec![1.0, 1.0 + rng.u32(1..9) as f32];
-            Change::Put(Title { name, rates, groups: 1, length: 5, holders: vec![] })
+            Change::PutTitle(Title { name, rates, group_mask: 1, duration_ms: 5, holders: vec![] })
         }
         n if (n - 1) / 11 % 2 == 0 => Change::AddHolder { name, server },
-        _ => Change::DropHolder { name, server },
+        _ => Change::RemoveHolder { name, server },
     };
-    Numbered { number, change }
+    NumberedChange { number, change }
 }
 
 fn empty() -> Version {
-    Builder::new(0, vec!["g".into()], None).unwrap().finish()
+    VersionBuilder::new(0, vec!["g".into()], None).unwrap().finish()
 }
 
 fn at(number: u64) -> Version {
-    empty().with(&(1..=number).map(change).collect::<Vec<_>>()).unwrap()
+    empty().with_changes(&(1..=number).map(change).collect::<Vec<_>>()).unwrap()
 }
 
 fn same(a: &Version, b: &Version) {
-    assert_eq!((a.number(), a.len(), a.thin()), (b.number(), b.len(), b.thin()));
+    assert_eq!(
+        (a.number(), a.len(), a.under_replicated_counts()),
+        (b.number(), b.len(), b.under_replicated_counts())
+    );
     for t in b.titles() {
         assert_eq!(a.title(t.name()), Some(t));
     }
@@ -47,7 +50,7 @@
 
 fn open(folder: &Path) -> (Store, Version) {
     let (store, held) = Store::open(folder, &mut |_, _| {}).unwrap();
-    assert_eq!(held.faults, []);
+    assert_eq!(held.errors, []);
     (store, held.version.unwrap_or_else(empty))
 }
 
@@ -65,8 +68,8 @@
     let folder = Path::new(&folder);
     let (store, mut v) = open(folder);
     loop {
-        let batch: Vec<Numbered> = (1..=1 + v.number() % 40).map(|n| change(v.number() + n)).collect();
-        let next = v.with(&batch).unwrap();
+        let batch: Vec<NumberedChange> = (1..=1 + v.number() % 40).map(|n| change(v.number() + n)).collect();
+        let next = v.with_changes(&batch).unwrap();
         store.append(&batch).unwrap();
         v = next;
         println!("kept {}", v.number());
@@ -125,7 +128,7 @@
             store.prune().unwrap();
         }
     }
-    let numbers: Vec<u64> = snapshots(folder).into_iter().map(|s| s.0).collect();
+    let numbers: Vec<u64> = list_snapshots(folder).into_iter().map(|s| s.0).collect();
     assert_eq!(numbers, [400, 300]);
 }
 
@@ -140,8 +143,8 @@
     fs::write(&newest, &bytes).unwrap();
     fs::write(folder.path().join("snapshot-500.part"), b"cut short").unwrap();
     let (_store, held) = Store::open(folder.path(), &mut |_, _| {}).unwrap();
-    assert_eq!(held.faults.len(), 1);
-    assert!(held.faults[0].0.contains("snapshot-400.wcat: snapshot: byte "), "{}", held.faults[0]);
+    assert_eq!(held.errors.len(), 1);
+    assert!(held.errors[0].0.contains("snapshot-400.wcat: snapshot: byte "), "{}", held.errors[0]);
     same(&held.version.unwrap(), &at(450));
     assert!(!folder.path().join("snapshot-500.part").exists());
 }
@@ -193,7 +196,7 @@
     let (store, _) = open(folder.path());
     // Its numbers may be lower: the publisher began anew.
     write_snapshot(folder.path(), &at(120), &mut |_, _| {}).unwrap();
-    store.replaced_by(120).unwrap();
+    store.reset_to_snapshot(120).unwrap();
     drop(store);
     let (mut store, v) = open(folder.path());
     same(&v, &at(120));
@@ -252,8 +255,8 @@
         for step in steps {
             match step {
                 Step::Append(n) => {
-                    let batch: Vec<Numbered> = (1..=n).map(|k| change(v.number() + k)).collect();
-                    v = v.with(&batch).unwrap();
+                    let batch: Vec<NumberedChange> = (1..=n).map(|k| change(v.number() + k)).collect();
+                    v = v.with_changes(&batch).unwrap();
                     store.append(&batch).unwrap();
                 }
                 Step::Snapshot => {
@@ -264,7 +267,7 @@
                 Step::Replace(number) => {
                     v = at(number);
                     write_snapshot(folder.path(), &v, &mut |_, _| {}).unwrap();
-                    store.replaced_by(number).unwrap();
+                    store.reset_to_snapshot(number).unwrap();
                 }
                 Step::Compact => drop(store.compact().unwrap()),
                 Step::Reopen => {
--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -8,9 +8,9 @@
     /// Its true rate at each rung of the ladder, in kB a second, ascending.
     pub rates: Vec<f32>,
     /// Service groups that may play it, as bits by their position.
-    pub groups: u32,
+    pub group_mask: u32,
     /// Its length in milliseconds.
-    pub length: u32,
+    pub duration_ms: u32,
     /// Boxes that hold it, ascending.
     pub holders: Vec<ServerId>,
 }
@@ -18,15 +18,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// A title is new, or is told whole anew.
-    Put(Title),
-    Drop {
+    PutTitle(Title),
+    RemoveTitle {
         name: String,
     },
     AddHolder {
         name: String,
         server: ServerId,
     },
-    DropHolder {
+    RemoveHolder {
         name: String,
         server: ServerId,
     },
@@ -35,15 +35,15 @@
         from: ServerId,
         to: ServerId,
     },
-    Rates {
+    SetRates {
         name: String,
         rates: Vec<f32>,
     },
     /// A box is away: its titles are out of reach there until it is back. What it holds stays known.
-    Gone(ServerId),
-    Back(ServerId),
+    ServerGone(ServerId),
+    ServerBack(ServerId),
     /// A box stands in a rack.
-    Stands {
+    SetRack {
         server: ServerId,
         rack: RackNo,
     },
@@ -51,24 +51,24 @@
 
 /// A change with its place in the stream: numbers grow by one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Numbered {
+pub struct NumberedChange {
     pub number: u64,
     pub change: Change,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fault {
+pub enum ApplyError {
     /// Changes between these are missing: the stream is to be resumed after `have`.
     Gap { have: u64, got: u64 },
     /// A change does not fit what is known, so something was missed unseen: a whole catalogue is wanted.
-    Conflict { number: u64, why: String },
+    Conflict { number: u64, reason: String },
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ApplyError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Fault::Gap { have, got } => write!(f, "change {got} came after change {have}"),
-            Fault::Conflict { number, why } => write!(f, "change {number}: {why}"),
+            ApplyError::Gap { have, got } => write!(f, "change {got} came after change {have}"),
+            ApplyError::Conflict { number, reason } => write!(f, "change {number}: {reason}"),
         }
     }
 }
--- a/crates/catalogue/src/wire.rs
+++ b/crates/catalogue/src/change_json.rs
@@ -4,7 +4,7 @@
 //! [8,{"put":{"title":"a","rates":[200,380.5],"groups":3,"length":60000,"holders":[1,4]}}]
 //! [9,{"move":{"title":"a","from":4,"to":7}}]      [10,{"gone":7}]
 //! ```
-use crate::change::{Change, Numbered, Title};
+use crate::change::{Change, NumberedChange, Title};
 use serde::{Deserialize, Serialize};
 use walnutline::ids::{RackNo, ServerId};
 
@@ -63,47 +63,53 @@
     rack: u32,
 }
 
-pub fn write(n: &Numbered) -> String {
+pub fn encode(n: &NumberedChange) -> String {
     let what = match n.change.clone() {
-        Change::Put(t) => What::Put(Put {
+        Change::PutTitle(t) => What::Put(Put {
             title: t.name,
             rates: t.rates,
-            groups: t.groups,
-            length: t.length,
+            groups: t.group_mask,
+            length: t.duration_ms,
             holders: t.holders.into_iter().map(|h| h.0).collect(),
         }),
-        Change::Drop { name } => What::Drop(name),
+        Change::RemoveTitle { name } => What::Drop(name),
         Change::AddHolder { name, server } => What::Add(At { title: name, server: server.0 }),
-        Change::DropHolder { name, server } => What::Remove(At { title: name, server: server.0 }),
+        Change::RemoveHolder { name, server } => What::Remove(At { title: name, server: server.0 }),
         Change::MoveHolder { name, from, to } => What::Move(Move { title: name, from: from.0, to: to.0 }),
-        Change::Rates { name, rates } => What::Rates(Rates { title: name, rates }),
-        Change::Gone(server) => What::Gone(server.0),
-        Change::Back(server) => What::Back(server.0),
-        Change::Stands { server, rack } => What::Stands(Stands { server: server.0, rack: rack.0 }),
+        Change::SetRates { name, rates } => What::Rates(Rates { title: name, rates }),
+        Change::ServerGone(server) => What::Gone(server.0),
+        Change::ServerBack(server) => What::Back(server.0),
+        Change::SetRack { server, rack } => What::Stands(Stands { server: server.0, rack: rack.0 }),
     };
     // Rates that are not finite are no numbers to JSON; no such title is ever kept.
     serde_json::to_string(&(n.number, what)).unwrap_or_default()
 }
 
 /// Reads one change; the error tells line and column.
-pub fn read(text: &str) -> Result<Numbered, String> {
+pub fn decode(text: &str) -> Result<NumberedChange, String> {
     let (number, what): (u64, What) = serde_json::from_str(text).map_err(|e| format!("change: {e}"))?;
     let change = match what {
         What::Put(p) => {
             let mut holders: Vec<ServerId> = p.holders.into_iter().map(ServerId).collect();
             holders.sort_unstable();
-            Change::Put(Title { name: p.title, rates: p.rates, groups: p.groups, length: p.length, holders })
+            Change::PutTitle(Title {
+                name: p.title,
+                rates: p.rates,
+                group_mask: p.groups,
+                duration_ms: p.length,
+                holders,
+            })
         }
-        What::Drop(name) => Change::Drop { name },
+        What::Drop(name) => Change::RemoveTitle { name },
         What::Add(a) => Change::AddHolder { name: a.title, server: ServerId(a.server) },
-        What::Remove(a) => Change::DropHolder { name: a.title, server: ServerId(a.server) },
+        What::Remove(a) => Change::RemoveHolder { name: a.title, server: ServerId(a.server) },
         What::Move(m) => Change::MoveHolder { name: m.title, from: ServerId(m.from), to: ServerId(m.to) },
-        What::Rates(r) => Change::Rates { name: r.title, rates: r.rates },
-        What::Gone(server) => Change::Gone(ServerId(server)),
-        What::Back(server) => Change::Back(ServerId(server)),
-        What::Stands(s) => Change::Stands { server: ServerId(s.server), rack: RackNo(s.rack) },
+        What::Rates(r) => Change::SetRates { name: r.title, rates: r.rates },
+        What::Gone(server) => Change::ServerGone(ServerId(server)),
+        What::Back(server) => Change::ServerBack(ServerId(server)),
+        What::Stands(s) => Change::SetRack { server: ServerId(s.server), rack: RackNo(s.rack) },
     };
-    Ok(Numbered { number, change })
+    Ok(NumberedChange { number, change })
 }
 
 #[cfg(test)]
@@ -115,25 +121,25 @@
         let title = Title {
             name: "a \"b\"".into(),
             rates: vec![0.5, 200.25],
-            groups: 5,
-            length: 9,
+            group_mask: 5,
+            duration_ms: 9,
             holders: vec![ServerId(1), ServerId(7)],
         };
         let (name, server, to) = (title.name.clone(), ServerId(3), ServerId(4));
         let all = [
-            Change::Put(title),
-            Change::Drop { name: name.clone() },
+            Change::PutTitle(title),
+            Change::RemoveTitle { name: name.clone() },
             Change::AddHolder { name: name.clone(), server },
-            Change::DropHolder { name: name.clone(), server },
+            Change::RemoveHolder { name: name.clone(), server },
             Change::MoveHolder { name: name.clone(), from: server, to },
-            Change::Rates { name, rates: vec![1.0] },
-            Change::Gone(server),
-            Change::Back(server),
-            Change::Stands { server, rack: RackNo(2) },
+            Change::SetRates { name, rates: vec![1.0] },
+            Change::ServerGone(server),
+            Change::ServerBack(server),
+            Change::SetRack { server, rack: RackNo(2) },
         ];
         for (number, change) in all.into_iter().enumerate() {
-            let n = Numbered { number: number as u64, change };
-            assert_eq!(read(&write(&n)), Ok(n));
+            let n = NumberedChange { number: number as u64, change };
+            assert_eq!(decode(&encode(&n)), Ok(n));
         }
         for (text, place) in [
             ("[1,{\"gone\":\"x\"}]", "column 14"),
@@ -142,7 +148,7 @@
             ("[{\"gone\":1}]", "column"),
             ("[", "line 1 column 1"),
         ] {
-            let told = read(text).unwrap_err();
+            let told = decode(text).unwrap_err();
             assert!(told.contains(place), "{text}: {told}");
         }
     }
--- a/crates/catalogue/src/cow.rs
+++ b/crates/catalogue/src/cow_array.rs
@@ -1,26 +1,26 @@
 //! Arrays in pages that versions share. To copy one is to copy a pointer for each page; to change an element copies its
 //! page once, where another version still has it. Reading is two steps, whatever the length.
 //!
-//! Growth: 8 bytes for each page of [`PAGE`] elements, beside the elements. A version that changes `n` elements far
+//! Growth: 8 bytes for each page of [`PAGE_LEN`] elements, beside the elements. A version that changes `n` elements far
 //! apart holds `n` pages of its own, at most all of them.
 use std::sync::Arc;
 
 /// Elements in a page: a copy of one costs a microsecond or so, and 2 000 000 titles make 8 000 pointers.
-pub const PAGE: usize = 256;
+pub const PAGE_LEN: usize = 256;
 
 #[derive(Debug, Clone)]
-pub struct Pages<T> {
+pub struct CowArray<T> {
     pages: Vec<Arc<Vec<T>>>,
     len: usize,
 }
 
-impl<T> Default for Pages<T> {
+impl<T> Default for CowArray<T> {
     fn default() -> Self {
-        Pages { pages: Vec::new(), len: 0 }
+        CowArray { pages: Vec::new(), len: 0 }
     }
 }
 
-impl<T: Clone> Pages<T> {
+impl<T: Clone> CowArray<T> {
     pub fn len(&self) -> usize {
         self.len
     }
@@ -30,17 +30,17 @@
     }
 
     pub fn get(&self, at: usize) -> Option<&T> {
-        self.pages.get(at / PAGE)?.get(at % PAGE)
+        self.pages.get(at / PAGE_LEN)?.get(at % PAGE_LEN)
     }
 
     pub fn get_mut(&mut self, at: usize) -> Option<&mut T> {
-        Arc::make_mut(self.pages.get_mut(at / PAGE)?).get_mut(at % PAGE)
+        Arc::make_mut(self.pages.get_mut(at / PAGE_LEN)?).get_mut(at % PAGE_LEN)
     }
 
     /// Adds an element; returns its position.
     pub fn push(&mut self, value: T) -> usize {
-        if self.len.is_multiple_of(PAGE) {
-            self.pages.push(Arc::new(Vec::with_capacity(PAGE)));
+        if self.len.is_multiple_of(PAGE_LEN) {
+            self.pages.push(Arc::new(Vec::with_capacity(PAGE_LEN)));
         }
         let last = self.pages.last_mut().expect("a page was just made sure of");
         Arc::make_mut(last).push(value);
@@ -52,8 +52,8 @@
         self.pages.iter().flat_map(|p| p.iter())
     }
 
-    /// Pages that this version has and the other has not: what it costs beside the other.
-    pub fn own_pages(&self, other: &Self) -> usize {
+    /// CowArray that this version has and the other has not: what it costs beside the other.
+    pub fn unshared_pages(&self, other: &Self) -> usize {
         let same = |(n, p): &(usize, &Arc<Vec<T>>)| other.pages.get(*n).is_some_and(|o| Arc::ptr_eq(o, p));
         self.pages.iter().enumerate().filter(|p| !same(p)).count()
     }
@@ -68,8 +68,8 @@
         /// Versions taken at any time stay as they were, whatever is done after.
         #[test]
         fn like_a_vector_with_copies(steps in prop::collection::vec((0u8..4, 0usize..2_000, any::<u16>()), 1..300)) {
-            let (mut pages, mut plain) = (Pages::default(), Vec::new());
-            let mut kept: Vec<(Pages<u16>, Vec<u16>)> = Vec::new();
+            let (mut pages, mut plain) = (CowArray::default(), Vec::new());
+            let mut kept: Vec<(CowArray<u16>, Vec<u16>)> = Vec::new();
             for (what, at, value) in steps {
                 match what {
                     0 if kept.len() < 8 => kept.push((pages.clone(), plain.clone())),
@@ -97,13 +97,13 @@
 
     #[test]
     fn a_change_copies_one_page() {
-        let mut old = Pages::default();
-        for n in 0..10 * PAGE {
+        let mut old = CowArray::default();
+        for n in 0..10 * PAGE_LEN {
             old.push(n);
         }
         let mut new = old.clone();
-        *new.get_mut(3 * PAGE + 5).unwrap() = 0;
-        *new.get_mut(3 * PAGE + 6).unwrap() = 0;
-        assert_eq!(new.own_pages(&old), 1);
+        *new.get_mut(3 * PAGE_LEN + 5).unwrap() = 0;
+        *new.get_mut(3 * PAGE_LEN + 6).unwrap() = 0;
+        assert_eq!(new.unshared_pages(&old), 1);
     }
 }
--- a/crates/catalogue/src/demand.rs
+++ b/crates/catalogue/src/demand.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug)]
-pub struct Demand {
+pub struct DemandSketch {
     half_life: Ms,
     most: usize,
     /// A heap with the least weight first.
@@ -32,17 +32,17 @@
 
 /// A title that is asked for, with its decayed weight and by how much that may be too high.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Asked {
+pub struct TitleDemand {
     pub key: u64,
     pub weight: f64,
-    pub over: f64,
+    pub max_overestimate: f64,
 }
 
-impl Demand {
+impl DemandSketch {
     /// `most`: places, at least 1. A request's weight halves every `half_life` milliseconds.
-    pub fn new(most: usize, half_life: Ms) -> Demand {
+    pub fn new(most: usize, half_life: Ms) -> DemandSketch {
         let most = most.max(1);
-        Demand {
+        DemandSketch {
             half_life,
             most,
             heap: Vec::with_capacity(most),
@@ -65,7 +65,7 @@
     }
 
     /// A request for a title, by a key of its name.
-    pub fn count(&mut self, key: u64, now: Ms) {
+    pub fn record(&mut self, key: u64, now: Ms) {
         let from = *self.from.get_or_insert(now);
         if self.scale(now) > HIGHEST {
             let down = 1.0 / self.scale(now);
@@ -94,23 +94,23 @@
     }
 
     /// Decayed weight of all requests.
-    pub fn total(&self, now: Ms) -> f64 {
+    pub fn total_weight(&self, now: Ms) -> f64 {
         self.total / self.scale(now)
     }
 
     /// By how much a weight may be too high at most.
-    pub fn bound(&self, now: Ms) -> f64 {
-        self.total(now) / self.most as f64
+    pub fn error_bound(&self, now: Ms) -> f64 {
+        self.total_weight(now) / self.most as f64
     }
 
-    pub fn of(&self, key: u64, now: Ms) -> Option<Asked> {
+    pub fn get(&self, key: u64, now: Ms) -> Option<TitleDemand> {
         let p = self.heap[*self.at.get(&key)?];
         let scale = self.scale(now);
-        Some(Asked { key, weight: p.weight / scale, over: p.over / scale })
+        Some(TitleDemand { key, weight: p.weight / scale, max_overestimate: p.over / scale })
     }
 
     /// The titles most asked for, the heaviest first. Costs `O(k)` and the sorting of `n`.
-    pub fn top(&self, n: usize, now: Ms) -> Vec<Asked> {
+    pub fn top(&self, n: usize, now: Ms) -> Vec<TitleDemand> {
         let mut all: Vec<Place> = self.heap.clone();
         let order = |a: &Place, b: &Place| b.weight.total_cmp(&a.weight).then(a.key.cmp(&b.key));
         if n < all.len() {
@@ -119,7 +119,9 @@
         }
         all.sort_by(order);
         let scale = self.scale(now);
-        all.iter().map(|p| Asked { key: p.key, weight: p.weight / scale, over: p.over / scale }).collect()
+        all.iter()
+            .map(|p| TitleDemand { key: p.key, weight: p.weight / scale, max_overestimate: p.over / scale })
+            .collect()
     }
 
     fn swap(&mut self, a: usize, b: usize) {
@@ -163,12 +165,12 @@
             k in 1usize..20,
             asked in prop::collection::vec((0u64..40, 0u64..40, 0.0f64..400.0), 1..400),
         ) {
-            let mut demand = Demand::new(k, 1_000.0);
+            let mut demand = DemandSketch::new(k, 1_000.0);
             let mut exact: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
             let mut now = 0.0;
             for (a, b, gap) in asked {
                 now += gap;
-                demand.count(a.min(b), now);
+                demand.record(a.min(b), now);
                 exact.entry(a.min(b)).or_default().push(now);
             }
             let exact: BTreeMap<u64, f64> = exact
@@ -177,15 +179,15 @@
                 .collect();
             let all: f64 = exact.values().sum();
             let near = 1e-6 * all;
-            prop_assert!((demand.total(now) - all).abs() <= near);
+            prop_assert!((demand.total_weight(now) - all).abs() <= near);
             prop_assert!(demand.len() <= k);
-            let bound = demand.bound(now);
+            let bound = demand.error_bound(now);
             for (key, weight) in &exact {
-                match demand.of(*key, now) {
+                match demand.get(*key, now) {
                     Some(told) => {
                         prop_assert!(told.weight >= weight - near, "{} under {weight}", told.weight);
-                        prop_assert!(told.weight - told.over <= weight + near);
-                        prop_assert!(told.over <= bound + near);
+                        prop_assert!(told.weight - told.max_overestimate <= weight + near);
+                        prop_assert!(told.max_overestimate <= bound + near);
                     }
                     None => prop_assert!(*weight <= bound + near, "{weight} is missing, bound {bound}"),
                 }
@@ -197,16 +199,16 @@
 
     #[test]
     fn days_pass_and_nothing_overflows() {
-        let mut demand = Demand::new(4, 1_000.0);
+        let mut demand = DemandSketch::new(4, 1_000.0);
         for n in 0..200_000u32 {
-            demand.count(u64::from(n % 6), f64::from(n) * 500.0);
+            demand.record(u64::from(n % 6), f64::from(n) * 500.0);
         }
         let now = 200_000.0 * 500.0;
-        let sum = demand.total(now);
+        let sum = demand.total_weight(now);
         assert!((2.0..3.0).contains(&sum), "{sum}");
         assert!(demand.top(9, now).iter().all(|t| t.weight.is_finite()));
         // Long silence: weights vanish, and what comes after counts anew.
-        demand.count(77, now + 1e9);
-        assert!((demand.of(77, now + 1e9).unwrap().weight - 1.0).abs() < 1e-6);
+        demand.record(77, now + 1e9);
+        assert!((demand.get(77, now + 1e9).unwrap().weight - 1.0).abs() < 1e-6);
     }
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -4,27 +4,27 @@
 //! that shares with the old all that is the same, and readers keep the one they began with. What it says is never
 //! leave to send a session anywhere: a request's own list of holders decides that.
 //!
-//! - [`change`]: what may change, and why a batch is refused. [`wire`]: changes as they are sent and kept.
-//! - [`version`]: both directions of the index, and how changes are applied. It stands on [`packed`] (a title in one
-//!   run of bytes), [`cow`] (arrays in pages that versions share), [`names`] (titles by name) and [`prefix`] (titles
+//! - [`change`]: what may change, and why a batch is refused. [`change_json`]: changes as they are sent and kept.
+//! - [`version`]: both directions of the index, and how changes are applied. It stands on [`packed_title`] (a title in one
+//!   run of bytes), [`cow_array`] (arrays in pages that versions share), [`name_index`] (titles by name) and [`prefix_trie`] (titles
 //!   by the beginning of their names).
 //! - [`current`]: the version in force, and who frees the replaced ones.
-//! - [`snapshot`]: a whole version as bytes. [`keep`]: what stays on storage. [`follow`]: where a follower stands in
+//! - [`snapshot`]: a whole version as bytes. [`retention`]: what stays on storage. [`follower`]: where a follower stands in
 //!   the stream of changes.
-//! - [`demand`]: what is asked for, in fixed memory. [`news`]: the boxes whose news is worth having.
-//! - [`differ`]: where a request's list and the catalogue disagree. [`advice`]: all of this for one request.
-pub mod advice;
+//! - [`demand`]: what is asked for, in fixed memory. [`probe_planner`]: the boxes whose news is worth having.
+//! - [`differences`]: where a request's list and the catalogue disagree. [`advisor`]: all of this for one request.
+pub mod advisor;
 pub mod change;
-pub mod cow;
+pub mod change_json;
+pub mod cow_array;
 pub mod current;
 pub mod demand;
-pub mod differ;
-pub mod follow;
-pub mod keep;
-pub mod names;
-pub mod news;
-pub mod packed;
-pub mod prefix;
+pub mod differences;
+pub mod follower;
+pub mod name_index;
+pub mod packed_title;
+pub mod prefix_trie;
+pub mod probe_planner;
+pub mod retention;
 pub mod snapshot;
 pub mod version;
-pub mod wire;
--- a/crates/catalogue/src/names.rs
+++ b/crates/catalogue/src/name_index.rs
@@ -1,5 +1,5 @@
 //! Titles by name: an index from the hash of a name to the positions of titles, in pages that versions share. Each
-//! page has the hashes that begin alike, ascending. Names are not kept here a second time: who asks compares the name
+//! page has the hashes that begin alike, ascending. NameIndex are not kept here a second time: who asks compares the name
 //! of each position that is offered.
 //!
 //! Growth: 16 bytes a title. A look-up begins in one page of some hundred entries where its hash should be; a change copies
@@ -10,22 +10,22 @@
 const FULL: usize = 256;
 
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct NameIndex {
     /// 1 << bits pages.
     bits: u32,
     pages: Vec<Arc<Vec<(u64, u32)>>>,
     len: usize,
 }
 
-impl Default for Names {
+impl Default for NameIndex {
     fn default() -> Self {
-        Names { bits: 0, pages: vec![Arc::default()], len: 0 }
+        NameIndex { bits: 0, pages: vec![Arc::default()], len: 0 }
     }
 }
 
-/// FNV-1a, then mixed: the first bits choose the page. Names are the publisher's, not viewers', so that nobody
+/// FNV-1a, then mixed: the first bits choose the page. NameIndex are the publisher's, not viewers', so that nobody
 /// outside can choose them to collide; the index stays right if they do.
-pub fn hash(name: &str) -> u64 {
+pub fn hash_name(name: &str) -> u64 {
     hash_bytes(name.as_bytes())
 }
 
@@ -36,7 +36,7 @@
     h ^ h >> 29
 }
 
-impl Names {
+impl NameIndex {
     pub fn len(&self) -> usize {
         self.len
     }
@@ -54,7 +54,7 @@
     }
 
     /// Positions of the titles whose names hash so: nearly always one or none.
-    pub fn find(&self, hash: u64) -> impl Iterator<Item = u32> + '_ {
+    pub fn positions(&self, hash: u64) -> impl Iterator<Item = u32> + '_ {
         let page = &self.pages[self.page(hash)];
         let from = self.lower_bound(page, hash);
         page[from..].iter().take_while(move |e| e.0 == hash).map(|e| e.1)
@@ -117,7 +117,7 @@
         /// Beside a plain set, with hashes that often collide or share their first bits.
         #[test]
         fn like_a_set(steps in prop::collection::vec((any::<bool>(), 0u64..400, 0u32..3, any::<bool>()), 0..1_500)) {
-            let (mut names, mut plain) = (Names::default(), BTreeSet::new());
+            let (mut names, mut plain) = (NameIndex::default(), BTreeSet::new());
             let mut kept = None;
             for (n, (add, base, position, high)) in steps.into_iter().enumerate() {
                 let hash = if high { base << 55 } else { base.wrapping_mul(0x9e37_79b9_7f4a_7c15) };
@@ -129,7 +129,7 @@
                     plain.remove(&(hash, position));
                 }
                 prop_assert_eq!(names.len(), plain.len());
-                let found: Vec<u32> = names.find(hash).collect();
+                let found: Vec<u32> = names.positions(hash).collect();
                 let wanted: Vec<u32> = plain.range((hash, 0)..=(hash, u32::MAX)).map(|e| e.1).collect();
                 prop_assert_eq!(found, wanted);
                 if n == 700 {
@@ -137,18 +137,18 @@
                 }
             }
             for (names, plain) in kept.into_iter().chain([(names, plain)]) {
-                prop_assert!(plain.iter().all(|(h, p)| names.find(*h).any(|q| q == *p)));
+                prop_assert!(plain.iter().all(|(h, p)| names.positions(*h).any(|q| q == *p)));
             }
         }
     }
 
     #[test]
     fn splits_keep_every_name() {
-        let mut names = Names::default();
-        let name = |n: u32| hash(&format!("notice-{n}"));
+        let mut names = NameIndex::default();
+        let name = |n: u32| hash_name(&format!("notice-{n}"));
         (0..20_000).for_each(|n| names.insert(name(n), n));
         assert!(names.pages.len() >= 64);
-        assert!((0..20_000).all(|n| names.find(name(n)).eq([n])));
+        assert!((0..20_000).all(|n| names.positions(name(n)).eq([n])));
         let most = names.pages.iter().map(|p| p.len()).max().unwrap();
         assert!(most < 2 * FULL, "uneven pages: {most}");
     }
--- a/crates/catalogue/src/packed.rs
+++ b/crates/catalogue/src/packed_title.rs
@@ -12,49 +12,49 @@
 use walnutline::ids::ServerId;
 
 /// Longest name, most rungs and most holders that are taken, and the highest rate, in kB a second.
-pub const LONGEST_NAME: usize = 512;
-pub const MOST_RUNGS: usize = 64;
-pub const MOST_HOLDERS: usize = 4_096;
+pub const MAX_NAME_BYTES: usize = 512;
+pub const MAX_RUNGS: usize = 64;
+pub const MAX_HOLDERS: usize = 4_096;
 const HIGHEST_RATE: f32 = 1e9;
 
 /// A title whose bytes are known to be sound.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Packed(Arc<[u8]>);
+pub struct PackedTitle(Arc<[u8]>);
 
 /// What is wrong with the bytes of a title, and at which of them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unsound {
-    pub at: usize,
-    pub why: String,
+pub struct PackedTitleError {
+    pub offset: usize,
+    pub reason: String,
 }
 
-impl Packed {
-    pub fn new(t: &Title) -> Result<Packed, String> {
+impl PackedTitle {
+    pub fn new(t: &Title) -> Result<PackedTitle, String> {
         check(t)?;
         let mut b = Vec::with_capacity(16 + t.name.len() + 4 * t.rates.len() + 2 * t.holders.len());
         b.extend((t.name.len() as u16).to_le_bytes());
         b.extend(t.name.as_bytes());
         b.push(t.rates.len() as u8);
         t.rates.iter().for_each(|r| b.extend(r.to_le_bytes()));
-        b.extend(t.groups.to_le_bytes());
-        b.extend(t.length.to_le_bytes());
+        b.extend(t.group_mask.to_le_bytes());
+        b.extend(t.duration_ms.to_le_bytes());
         b.extend((t.holders.len() as u16).to_le_bytes());
         let mut next = 0;
         for h in &t.holders {
             varint(u64::from(h.0) - next, &mut b);
             next = u64::from(h.0) + 1;
         }
-        Ok(Packed(b.into()))
+        Ok(PackedTitle(b.into()))
     }
 
     /// Takes bytes that came from outside, all of them one title.
-    pub fn read(bytes: &[u8]) -> Result<Packed, Unsound> {
+    pub fn parse(bytes: &[u8]) -> Result<PackedTitle, PackedTitleError> {
         let title = unpack(bytes)?;
-        check(&title).map_err(|why| Unsound { at: 0, why })?;
-        Ok(Packed(bytes.into()))
+        check(&title).map_err(|why| PackedTitleError { offset: 0, reason: why })?;
+        Ok(PackedTitle(bytes.into()))
     }
 
-    pub fn bytes(&self) -> &[u8] {
+    pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
@@ -84,42 +84,42 @@
     }
 
     /// Service groups that may play it, as bits.
-    pub fn groups(&self) -> u32 {
+    pub fn group_mask(&self) -> u32 {
         self.word(0)
     }
 
     /// Its length in milliseconds.
-    pub fn length(&self) -> u32 {
+    pub fn duration_ms(&self) -> u32 {
         self.word(1)
     }
 
     /// Boxes that hold it, ascending.
-    pub fn holders(&self) -> Holders<'_> {
+    pub fn holders(&self) -> HolderIter<'_> {
         let (at, rungs) = self.rates_at();
-        Holders { rest: &self.0[at + 4 * rungs + 10..], next: 0 }
+        HolderIter { rest: &self.0[at + 4 * rungs + 10..], next: 0 }
     }
 
     pub fn holds(&self, server: ServerId) -> bool {
         self.holders().take_while(|h| *h <= server).any(|h| h == server)
     }
 
-    pub fn title(&self) -> Title {
+    pub fn unpack(&self) -> Title {
         Title {
             name: self.name().into(),
             rates: self.rates().collect(),
-            groups: self.groups(),
-            length: self.length(),
+            group_mask: self.group_mask(),
+            duration_ms: self.duration_ms(),
             holders: self.holders().collect(),
         }
     }
 }
 
-pub struct Holders<'a> {
+pub struct HolderIter<'a> {
     rest: &'a [u8],
     next: u64,
 }
 
-impl Iterator for Holders<'_> {
+impl Iterator for HolderIter<'_> {
     type Item = ServerId;
 
     fn next(&mut self) -> Option<ServerId> {
@@ -161,24 +161,27 @@
 }
 
 impl<'a> Cursor<'a> {
-    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], Unsound> {
+    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], PackedTitleError> {
         let part = self.all.get(self.at..self.at + n);
-        let part = part.ok_or_else(|| Unsound { at: self.at, why: format!("ends within its {what}") })?;
+        let part = part
+            .ok_or_else(|| PackedTitleError { offset: self.at, reason: format!("ends within its {what}") })?;
         self.at += n;
         Ok(part)
     }
 
-    fn number(&mut self, n: usize, what: &str) -> Result<u32, Unsound> {
+    fn number(&mut self, n: usize, what: &str) -> Result<u32, PackedTitleError> {
         Ok(self.take(n, what)?.iter().rev().fold(0, |sum, b| sum << 8 | u32::from(*b)))
     }
 }
 
-fn unpack(bytes: &[u8]) -> Result<Title, Unsound> {
+fn unpack(bytes: &[u8]) -> Result<Title, PackedTitleError> {
     let mut c = Cursor { all: bytes, at: 0 };
     let len = c.number(2, "name")? as usize;
     let name = std::str::from_utf8(c.take(len, "name")?);
-    let name =
-        name.map_err(|e| Unsound { at: 2 + e.valid_up_to(), why: "a name that is not UTF-8".into() })?;
+    let name = name.map_err(|e| PackedTitleError {
+        offset: 2 + e.valid_up_to(),
+        reason: "a name that is not UTF-8".into(),
+    })?;
     let rungs = c.number(1, "rates")?;
     let mut rates = Vec::new();
     for _ in 0..rungs {
@@ -188,7 +191,7 @@
     let count = c.number(2, "holders")?;
     let (mut holders, mut next) = (Vec::new(), 0);
     for _ in 0..count {
-        let unsound = |why: &str| Unsound { at: c.at, why: why.into() };
+        let unsound = |why: &str| PackedTitleError { offset: c.at, reason: why.into() };
         let (more, used) =
             read_varint(&bytes[c.at..]).ok_or_else(|| unsound("a holder that does not end"))?;
         let id = u32::try_from(next + more).map_err(|_| unsound("a holder above 2^32"))?;
@@ -197,23 +200,26 @@
         next = u64::from(id) + 1;
     }
     if c.at != bytes.len() {
-        return Err(Unsound { at: c.at, why: format!("{} bytes too many", bytes.len() - c.at) });
+        return Err(PackedTitleError {
+            offset: c.at,
+            reason: format!("{} bytes too many", bytes.len() - c.at),
+        });
     }
-    Ok(Title { name: name.into(), rates, groups, length, holders })
+    Ok(Title { name: name.into(), rates, group_mask: groups, duration_ms: length, holders })
 }
 
 fn check(t: &Title) -> Result<(), String> {
     let name = &t.name;
-    if name.is_empty() || name.len() > LONGEST_NAME {
-        return Err(format!("a title's name has {} bytes, not 1 to {LONGEST_NAME}", name.len()));
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
+        return Err(format!("a title's name has {} bytes, not 1 to {MAX_NAME_BYTES}", name.len()));
     }
-    if t.rates.is_empty() || t.rates.len() > MOST_RUNGS {
-        return Err(format!("title {name:?} has {} rungs, not 1 to {MOST_RUNGS}", t.rates.len()));
+    if t.rates.is_empty() || t.rates.len() > MAX_RUNGS {
+        return Err(format!("title {name:?} has {} rungs, not 1 to {MAX_RUNGS}", t.rates.len()));
     }
     if !t.rates.iter().all(|r| (0.001..=HIGHEST_RATE).contains(r)) || !t.rates.is_sorted() {
         return Err(format!("title {name:?}: rates {:?} do not ascend from above 0", t.rates));
     }
-    if t.holders.len() > MOST_HOLDERS || !t.holders.windows(2).all(|w| w[0] < w[1]) {
+    if t.holders.len() > MAX_HOLDERS || !t.holders.windows(2).all(|w| w[0] < w[1]) {
         return Err(format!("title {name:?}: its holders are too many or do not ascend"));
     }
     Ok(())
@@ -230,7 +236,13 @@
         ("\\PC{1,20}", rates, any::<u32>(), any::<u32>(), holders).prop_map(
             |(name, mut rates, groups, length, h)| {
                 rates.sort_by(f32::total_cmp);
-                Title { name, rates, groups, length, holders: h.into_iter().map(ServerId).collect() }
+                Title {
+                    name,
+                    rates,
+                    group_mask: groups,
+                    duration_ms: length,
+                    holders: h.into_iter().map(ServerId).collect(),
+                }
             },
         )
     }
@@ -238,26 +250,26 @@
     proptest! {
         #[test]
         fn read_back(t in title()) {
-            let packed = Packed::new(&t).unwrap();
-            prop_assert_eq!(packed.title(), t.clone());
+            let packed = PackedTitle::new(&t).unwrap();
+            prop_assert_eq!(packed.unpack(), t.clone());
             prop_assert!(t.holders.iter().all(|h| packed.holds(*h)));
-            let mut read = Packed::read(packed.bytes()).unwrap();
+            let mut read = PackedTitle::parse(packed.as_bytes()).unwrap();
             prop_assert_eq!(&read, &packed);
-            read = Packed::new(&read.title()).unwrap();
+            read = PackedTitle::new(&read.unpack()).unwrap();
             prop_assert_eq!(read, packed);
         }
 
         /// Bytes cut short or changed are either a sound title or refused within their length; nothing breaks.
         #[test]
         fn rubbish_is_refused_with_its_place(t in title(), at in any::<prop::sample::Index>(), b in any::<u8>(), cut in any::<prop::sample::Index>()) {
-            let mut bytes = Packed::new(&t).unwrap().bytes().to_vec();
+            let mut bytes = PackedTitle::new(&t).unwrap().as_bytes().to_vec();
             let short = cut.index(bytes.len());
-            prop_assert!(Packed::read(&bytes[..short]).unwrap_err().at <= short);
+            prop_assert!(PackedTitle::parse(&bytes[..short]).unwrap_err().offset <= short);
             let at = at.index(bytes.len());
             bytes[at] = b;
-            match Packed::read(&bytes) {
-                Ok(p) => prop_assert!(Packed::new(&p.title()).is_ok()),
-                Err(e) => prop_assert!(e.at <= bytes.len()),
+            match PackedTitle::parse(&bytes) {
+                Ok(p) => prop_assert!(PackedTitle::new(&p.unpack()).is_ok()),
+                Err(e) => prop_assert!(e.offset <= bytes.len()),
             }
         }
     }
--- a/crates/catalogue/src/prefix.rs
+++ b/crates/catalogue/src/prefix_trie.rs
@@ -1,6 +1,6 @@
 //! Titles by the beginning of their names, in order: a burst trie (Heinz, Zobel and Williams, 2002) that versions
 //! share. Inner nodes branch by one byte; a bucket at the end of a way keeps the positions of up to [`FULL`] titles in
-//! the order of their names and bursts into an inner node beyond that. Names are not kept here: who calls hands in the
+//! the order of their names and bursts into an inner node beyond that. NameIndex are not kept here: who calls hands in the
 //! way from a position to its name.
 //!
 //! Growth: 4 bytes a title and some for the buckets' spare room. A change copies the nodes on one way, of at most the
@@ -27,17 +27,17 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Prefixes {
+pub struct PrefixTrie {
     root: Arc<Node>,
 }
 
 /// The way from a position to its name.
-pub trait NameOf<'a>: Fn(u32) -> &'a str + Copy {}
-impl<'a, F: Fn(u32) -> &'a str + Copy> NameOf<'a> for F {}
+pub trait NameLookup<'a>: Fn(u32) -> &'a str + Copy {}
+impl<'a, F: Fn(u32) -> &'a str + Copy> NameLookup<'a> for F {}
 
-impl Prefixes {
+impl PrefixTrie {
     /// Adds a position that is not in it.
-    pub fn insert<'a>(&mut self, position: u32, name_of: impl NameOf<'a>) {
+    pub fn insert<'a>(&mut self, position: u32, name_of: impl NameLookup<'a>) {
         let name = name_of(position).as_bytes();
         let mut node = Arc::make_mut(&mut self.root);
         for depth in 0.. {
@@ -71,7 +71,7 @@
     }
 
     /// Takes a position out, while its name can still be had.
-    pub fn remove<'a>(&mut self, position: u32, name_of: impl NameOf<'a>) {
+    pub fn remove<'a>(&mut self, position: u32, name_of: impl NameLookup<'a>) {
         let name = name_of(position).as_bytes();
         let mut node = Arc::make_mut(&mut self.root);
         for depth in 0.. {
@@ -95,7 +95,7 @@
         prefix: &str,
         after: Option<&str>,
         most: usize,
-        name_of: impl NameOf<'a>,
+        name_of: impl NameLookup<'a>,
     ) -> Vec<u32> {
         let mut found = Vec::new();
         let (mut node, mut depth) = (&self.root, 0);
@@ -104,14 +104,14 @@
             let Ok(at) = next.binary_search_by_key(&byte, |n| n.0) else { return found };
             (node, depth) = (&next[at].1, depth + 1);
         }
-        // Names up to `after` are left out; where that begins otherwise than `prefix`, all are, or none.
+        // NameIndex up to `after` are left out; where that begins otherwise than `prefix`, all are, or none.
         let after = match after {
             Some(a) if a.starts_with(prefix) => Some(a),
             Some(a) if a > prefix => return found,
             _ => None,
         };
         // Nodes still to be looked through, the next one last, each with its depth and whether the way to it is the
-        // beginning of `after`. Names may be long, so no call calls itself.
+        // beginning of `after`. NameIndex may be long, so no call calls itself.
         let mut ahead = vec![(node, depth, after.is_some())];
         while let Some((node, depth, on_way)) = ahead.pop() {
             if found.len() >= most {
@@ -140,7 +140,7 @@
     }
 }
 
-fn burst<'a>(bucket: &[u32], depth: usize, name_of: impl NameOf<'a>) -> Node {
+fn burst<'a>(bucket: &[u32], depth: usize, name_of: impl NameLookup<'a>) -> Node {
     let (mut here, mut next) = (None, Vec::<(u8, Arc<Node>)>::new());
     let mut rest = bucket;
     while let Some(first) = rest.first() {
@@ -170,7 +170,7 @@
             steps in prop::collection::vec(("[ab]{1,12}", 0u8..5), 1..1_200),
             asked in prop::collection::vec(("[ab]{0,5}", prop::option::of("[ab]{1,6}"), 0usize..400), 8),
         ) {
-            let (mut trie, mut plain, mut names) = (Prefixes::default(), BTreeMap::new(), Vec::<String>::new());
+            let (mut trie, mut plain, mut names) = (PrefixTrie::default(), BTreeMap::new(), Vec::<String>::new());
             let mut kept = None;
             for (n, (name, what)) in steps.iter().enumerate() {
                 if *what == 0 {
@@ -204,7 +204,7 @@
     #[test]
     fn long_names_that_begin_alike() {
         let names: Vec<String> = (0..600).map(|n| format!("{}{n:03}", "x".repeat(500))).collect();
-        let mut trie = Prefixes::default();
+        let mut trie = PrefixTrie::default();
         (0..600).for_each(|p| trie.insert(p, |p| &names[p as usize]));
         assert_eq!(trie.find("xxx", None, 1_000, |p| &names[p as usize]), (0..600).collect::<Vec<_>>());
         assert_eq!(trie.find(&names[7], None, 9, |p| &names[p as usize]), [7]);
--- a/crates/catalogue/src/keep.rs
+++ b/crates/catalogue/src/retention.rs
@@ -13,22 +13,22 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Prune {
+pub struct PrunePlan {
     /// Snapshots to be removed.
     pub snapshots: Vec<u64>,
     /// Changes up to this one are to be removed: every kept snapshot is after them.
-    pub changes: u64,
+    pub changes_up_to: u64,
 }
 
 /// What may go, by the numbers of the snapshots that are whole.
-pub fn prune(snapshots: &[u64]) -> Prune {
+pub fn plan_prune(snapshots: &[u64]) -> PrunePlan {
     let mut all = snapshots.to_vec();
     all.sort_unstable_by(|a, b| b.cmp(a));
     all.dedup();
     let gone = all.split_off(all.len().min(SNAPSHOTS));
     // With one snapshot alone all changes stay: were it lost, they would be all that is left.
     let changes = if all.len() < SNAPSHOTS { 0 } else { all.last().copied().unwrap_or(0) };
-    Prune { snapshots: gone, changes }
+    PrunePlan { snapshots: gone, changes_up_to: changes }
 }
 
 #[cfg(test)]
@@ -37,10 +37,10 @@
 
     #[test]
     fn two_snapshots_stay_and_all_that_follows_the_older() {
-        assert_eq!(prune(&[]), Prune { snapshots: vec![], changes: 0 });
-        assert_eq!(prune(&[7]), Prune { snapshots: vec![], changes: 0 });
-        assert_eq!(prune(&[7, 9]), Prune { snapshots: vec![], changes: 7 });
-        assert_eq!(prune(&[12, 7, 9, 3]), Prune { snapshots: vec![7, 3], changes: 9 });
+        assert_eq!(plan_prune(&[]), PrunePlan { snapshots: vec![], changes_up_to: 0 });
+        assert_eq!(plan_prune(&[7]), PrunePlan { snapshots: vec![], changes_up_to: 0 });
+        assert_eq!(plan_prune(&[7, 9]), PrunePlan { snapshots: vec![], changes_up_to: 7 });
+        assert_eq!(plan_prune(&[12, 7, 9, 3]), PrunePlan { snapshots: vec![7, 3], changes_up_to: 9 });
     }
 
     #[test]
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -8,13 +8,13 @@
 //! end      a block of no titles
 //! ```
 //! All numbers are little-endian. Writer and reader work piece by piece: neither holds the whole in memory.
-use crate::packed::Packed;
-use crate::version::{BoxOf, Builder, Version};
+use crate::packed_title::PackedTitle;
+use crate::version::{BoxState, Version, VersionBuilder};
 use std::sync::Arc;
 use walnutline::ids::{RackNo, ServerId};
 
 const MAGIC: &[u8; 8] = b"WNLNCAT1";
-pub const HEADER: usize = 36;
+pub const HEADER_BYTES: usize = 36;
 /// A block is closed when it has grown to so many bytes; one that claims more than the second is refused.
 /// A reader works at one for some tenths of a millisecond: who reads beside other work can rest in between.
 const BLOCK: usize = 4 << 10;
@@ -24,14 +24,14 @@
 
 /// What is wrong, and at which byte of the snapshot the part at fault begins.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Bad {
-    pub at: u64,
-    pub why: String,
+pub struct SnapshotError {
+    pub offset: u64,
+    pub reason: String,
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "snapshot: byte {}: {}", self.at, self.why)
+        write!(f, "snapshot: byte {}: {}", self.offset, self.reason)
     }
 }
 
@@ -42,10 +42,10 @@
 }
 
 /// The pieces of a version's snapshot, in order.
-pub fn pieces(v: &Version) -> impl Iterator<Item = Vec<u8>> + '_ {
+pub fn encode(v: &Version) -> impl Iterator<Item = Vec<u8>> + '_ {
     let groups: Vec<u8> =
         v.groups().iter().flat_map(|g| std::iter::once(g.len() as u8).chain(g.bytes())).collect();
-    let boxes: Vec<BoxOf> = v.boxes().collect();
+    let boxes: Vec<BoxState> = v.boxes().collect();
     let mut header = MAGIC.to_vec();
     header.extend(v.number().to_le_bytes());
     header.extend((v.len() as u64).to_le_bytes());
@@ -58,7 +58,7 @@
         places.extend(b.rack.map_or(0, |r| r.0).to_le_bytes());
     }
     // In the order of names: who puts them together again then finds the place of each beside the one before.
-    let mut titles = v.beginning_with("", None, v.len()).into_iter().peekable();
+    let mut titles = v.titles_with_prefix("", None, v.len()).into_iter().peekable();
     let mut ended = false;
     let blocks = std::iter::from_fn(move || {
         if std::mem::replace(&mut ended, titles.peek().is_none()) {
@@ -66,8 +66,8 @@
         }
         let (mut count, mut bytes) = (0u32, Vec::new());
         while let Some(t) = titles.next_if(|_| bytes.len() < BLOCK) {
-            bytes.extend((t.bytes().len() as u16).to_le_bytes());
-            bytes.extend(t.bytes());
+            bytes.extend((t.as_bytes().len() as u16).to_le_bytes());
+            bytes.extend(t.as_bytes());
             count += 1;
         }
         let mut block = count.to_le_bytes().to_vec();
@@ -88,7 +88,7 @@
 }
 
 /// Puts a version together from the bytes of a snapshot, as they come.
-pub struct Reader {
+pub struct SnapshotReader {
     part: Part,
     pending: Vec<u8>,
     /// Bytes taken before those pending.
@@ -97,13 +97,13 @@
     titles: u64,
     done: u64,
     beside: Option<Arc<Version>>,
-    builder: Option<Builder>,
+    builder: Option<VersionBuilder>,
 }
 
-impl Reader {
+impl SnapshotReader {
     /// `beside`: the version that serves meanwhile; what is the same is shared with it.
-    pub fn new(beside: Option<Arc<Version>>) -> Reader {
-        Reader {
+    pub fn new(beside: Option<Arc<Version>>) -> SnapshotReader {
+        SnapshotReader {
             part: Part::Header,
             pending: Vec::new(),
             at: 0,
@@ -120,12 +120,12 @@
         (self.done, self.titles)
     }
 
-    fn bad(&self, why: impl Into<String>) -> Bad {
-        Bad { at: self.at, why: why.into() }
+    fn bad(&self, why: impl Into<String>) -> SnapshotError {
+        SnapshotError { offset: self.at, reason: why.into() }
     }
 
     /// Takes bytes. After an error nothing more is to be handed in.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), Bad> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         self.pending.extend_from_slice(bytes);
         let mut used = 0;
         let pending = std::mem::take(&mut self.pending);
@@ -141,9 +141,9 @@
     }
 
     /// Length of the part that is next, its sum included; `None` while too little of it is here to say.
-    fn wanted(&self, rest: &[u8]) -> Result<Option<usize>, Bad> {
+    fn wanted(&self, rest: &[u8]) -> Result<Option<usize>, SnapshotError> {
         match self.part {
-            Part::Header => Ok(Some(HEADER)),
+            Part::Header => Ok(Some(HEADER_BYTES)),
             Part::Places { boxes, groups } => Ok(Some(boxes * BOX + groups + 4)),
             Part::Block if rest.len() < 8 => Ok(None),
             Part::Block => match word(rest, 4) as usize {
@@ -155,7 +155,7 @@
         }
     }
 
-    fn take(&mut self, part: &[u8]) -> Result<(), Bad> {
+    fn take(&mut self, part: &[u8]) -> Result<(), SnapshotError> {
         let (bytes, sum) = part.split_at(part.len() - 4);
         if matches!(self.part, Part::Header) && !bytes.starts_with(MAGIC) {
             return Err(self.bad("this is no catalogue of a version that is known here"));
@@ -175,10 +175,10 @@
             Part::Places { groups, .. } => {
                 let (names, boxes) = bytes.split_at(groups);
                 let names = self.groups(names)?;
-                let builder = Builder::new(self.number, names, self.beside.take());
+                let builder = VersionBuilder::new(self.number, names, self.beside.take());
                 let mut builder = builder.map_err(|why| self.bad(why))?;
                 for b in boxes.chunks_exact(BOX) {
-                    builder.tell(BoxOf {
+                    builder.add_box(BoxState {
                         server: ServerId(word(b, 0)),
                         gone: b[4] & 1 != 0,
                         rack: (b[4] & 2 != 0).then(|| RackNo(word(b, 5))),
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    fn groups(&self, mut bytes: &[u8]) -> Result<Vec<String>, Bad> {
+    fn groups(&self, mut bytes: &[u8]) -> Result<Vec<String>, SnapshotError> {
         let mut names = Vec::new();
         while let Some((len, rest)) = bytes.split_first() {
             let name = rest.get(..usize::from(*len)).and_then(|n| std::str::from_utf8(n).ok());
@@ -204,17 +204,17 @@
         Ok(names)
     }
 
-    fn block(&mut self, count: u32, mut bytes: &[u8]) -> Result<(), Bad> {
+    fn block(&mut self, count: u32, mut bytes: &[u8]) -> Result<(), SnapshotError> {
         let (at, len) = (self.at, bytes.len());
         for _ in 0..count {
             let within = at + 8 + (len - bytes.len()) as u64;
-            let bad = |at: u64, why: String| Bad { at: within + at, why };
+            let bad = |at: u64, why: String| SnapshotError { offset: within + at, reason: why };
             let n = bytes.get(..2).map(|b| usize::from(u16::from_le_bytes([b[0], b[1]])));
             let title = n.and_then(|n| bytes.get(2..2 + n));
             let title = title.ok_or_else(|| bad(0, "a title that is cut short".into()))?;
-            let packed = Packed::read(title).map_err(|e| bad(2 + e.at as u64, e.why))?;
+            let packed = PackedTitle::parse(title).map_err(|e| bad(2 + e.offset as u64, e.reason))?;
             let builder = self.builder.as_mut().ok_or_else(|| bad(0, "titles before boxes".into()))?;
-            builder.title(packed).map_err(|why| bad(0, why))?;
+            builder.add_title(packed).map_err(|why| bad(0, why))?;
             bytes = &bytes[2 + title.len()..];
             self.done += 1;
         }
@@ -231,11 +231,11 @@
     }
 
     /// The version, once all bytes are handed in.
-    pub fn finish(self) -> Result<Version, Bad> {
+    pub fn finish(self) -> Result<Version, SnapshotError> {
         let short = self.at + self.pending.len() as u64;
         match (self.part, self.builder) {
             (Part::End, Some(builder)) => Ok(builder.finish()),
-            _ => Err(Bad { at: short, why: "it ends here, before its end".into() }),
+            _ => Err(SnapshotError { offset: short, reason: "it ends here, before its end".into() }),
         }
     }
 }
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -2,9 +2,9 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use walnutline::ids::{RackNo, ServerId};
-use walnutline_catalogue::change::{Change, Fault, Numbered, Title};
-use walnutline_catalogue::packed::Packed;
-use walnutline_catalogue::version::{BoxOf, Builder, Version};
+use walnutline_catalogue::change::{ApplyError, Change, NumberedChange, Title};
+use walnutline_catalogue::packed_title::PackedTitle;
+use walnutline_catalogue::version::{BoxState, Version, VersionBuilder};
 
 /// The catalogue as anyone would write it first.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -27,30 +27,30 @@
             true
         };
         match change {
-            Change::Put(t) => {
+            Change::PutTitle(t) => {
                 self.titles.insert(t.name.clone(), t.clone());
                 true
             }
-            Change::Drop { name } => self.titles.remove(name).is_some(),
+            Change::RemoveTitle { name } => self.titles.remove(name).is_some(),
             Change::AddHolder { name, server } => holders(name, None, Some(*server)),
-            Change::DropHolder { name, server } => holders(name, Some(*server), None),
+            Change::RemoveHolder { name, server } => holders(name, Some(*server), None),
             Change::MoveHolder { name, from, to } => holders(name, Some(*from), Some(*to)),
-            Change::Rates { name, rates } => match self.titles.get_mut(name) {
+            Change::SetRates { name, rates } => match self.titles.get_mut(name) {
                 Some(t) => {
                     t.rates = rates.clone();
                     true
                 }
                 None => false,
             },
-            Change::Gone(s) => {
+            Change::ServerGone(s) => {
                 self.gone.insert(*s);
                 true
             }
-            Change::Back(s) => {
+            Change::ServerBack(s) => {
                 self.gone.remove(s);
                 true
             }
-            Change::Stands { server, rack } => {
+            Change::SetRack { server, rack } => {
                 self.racks.insert(*server, *rack);
                 true
             }
@@ -63,18 +63,18 @@
 fn same(v: &Version, plain: &Plain) -> Result<(), TestCaseError> {
     prop_assert_eq!(v.len(), plain.titles.len());
     for (name, t) in &plain.titles {
-        prop_assert_eq!(v.title(name).map(Packed::title), Some(t.clone()));
-        let sound: Vec<ServerId> = v.title(name).into_iter().flat_map(|t| v.sound_holders(t)).collect();
+        prop_assert_eq!(v.title(name).map(PackedTitle::unpack), Some(t.clone()));
+        let sound: Vec<ServerId> = v.title(name).into_iter().flat_map(|t| v.available_holders(t)).collect();
         let wanted: Vec<ServerId> = t.holders.iter().copied().filter(|s| !plain.gone.contains(s)).collect();
         prop_assert_eq!(sound, wanted);
     }
     for s in (0..BOXES).map(ServerId) {
-        let held: BTreeSet<&str> = v.held_by(s).map(|t| t.name()).collect();
+        let held: BTreeSet<&str> = v.titles_on(s).map(|t| t.name()).collect();
         let holds = |(_, t): &(&String, &Title)| t.holders.contains(&s);
         let wanted: BTreeSet<&str> = plain.titles.iter().filter(holds).map(|(n, _)| n.as_str()).collect();
         prop_assert_eq!(held, wanted);
         prop_assert_eq!(v.is_gone(s), plain.gone.contains(&s));
-        let lost: BTreeSet<&str> = v.lost_with(&[s]).iter().map(|t| t.name()).collect();
+        let lost: BTreeSet<&str> = v.unreachable_without(&[s]).iter().map(|t| t.name()).collect();
         let only = |(_, t): &(&String, &Title)| {
             t.holders.contains(&s) && t.holders.iter().all(|h| *h == s || plain.gone.contains(h))
         };
@@ -82,14 +82,14 @@
         prop_assert_eq!(lost, wanted);
     }
     for left in 0..2 {
-        let told: BTreeSet<&str> = v.thinly_held(left).map(|t| t.name()).collect();
+        let told: BTreeSet<&str> = v.under_replicated(left).map(|t| t.name()).collect();
         let sound = |t: &Title| t.holders.iter().filter(|h| !plain.gone.contains(h)).count();
         let wanted: BTreeSet<&str> =
             plain.titles.iter().filter(|(_, t)| sound(t) == left).map(|(n, _)| n.as_str()).collect();
         prop_assert_eq!(told, wanted);
     }
     for rack in (0..2).map(RackNo) {
-        let (boxes, held) = v.in_rack(rack);
+        let (boxes, held) = v.rack_contents(rack);
         let stands = |s: &ServerId| plain.racks.get(s) == Some(&rack);
         prop_assert!(boxes.iter().all(stands));
         let held: BTreeSet<&str> = held.into_iter().map(|t| t.name()).collect();
@@ -98,7 +98,7 @@
         prop_assert_eq!(held, wanted);
     }
     for prefix in ["", "a", "c", "z"] {
-        let told: Vec<&str> = v.beginning_with(prefix, None, 99).into_iter().map(|t| t.name()).collect();
+        let told: Vec<&str> = v.titles_with_prefix(prefix, None, 99).into_iter().map(|t| t.name()).collect();
         let wanted: Vec<&str> =
             plain.titles.keys().map(String::as_str).filter(|n| n.starts_with(prefix)).collect();
         prop_assert_eq!(told, wanted);
@@ -108,12 +108,16 @@
 
 /// The plain catalogue as a whole version.
 fn whole(number: u64, plain: &Plain, beside: Option<Version>) -> Version {
-    let mut b = Builder::new(number, vec!["g".into()], beside.map(Into::into)).unwrap();
+    let mut b = VersionBuilder::new(number, vec!["g".into()], beside.map(Into::into)).unwrap();
     let boxes = plain.gone.iter().chain(plain.racks.keys()).collect::<BTreeSet<_>>();
     for server in boxes.into_iter().copied() {
-        b.tell(BoxOf { server, gone: plain.gone.contains(&server), rack: plain.racks.get(&server).copied() });
+        b.add_box(BoxState {
+            server,
+            gone: plain.gone.contains(&server),
+            rack: plain.racks.get(&server).copied(),
+        });
     }
-    plain.titles.values().for_each(|t| b.title(Packed::new(t).unwrap()).unwrap());
+    plain.titles.values().for_each(|t| b.add_title(PackedTitle::new(t).unwrap()).unwrap());
     b.finish()
 }
 
@@ -122,8 +126,8 @@
     ("[a-h]", 1.0..9.0f32, holders).prop_map(|(name, rate, holders)| Title {
         name,
         rates: vec![rate, 2.0 * rate],
-        groups: 1,
-        length: 5,
+        group_mask: 1,
+        duration_ms: 5,
         holders: holders.into_iter().map(ServerId).collect(),
     })
 }
@@ -132,15 +136,15 @@
     let name = || "[a-h]";
     let server = || (0..BOXES).prop_map(ServerId);
     prop_oneof![
-        3 => titles().prop_map(Change::Put),
-        1 => name().prop_map(|name| Change::Drop { name }),
+        3 => titles().prop_map(Change::PutTitle),
+        1 => name().prop_map(|name| Change::RemoveTitle { name }),
         2 => (name(), server()).prop_map(|(name, server)| Change::AddHolder { name, server }),
-        2 => (name(), server()).prop_map(|(name, server)| Change::DropHolder { name, server }),
+        2 => (name(), server()).prop_map(|(name, server)| Change::RemoveHolder { name, server }),
         2 => (name(), server(), server()).prop_map(|(name, from, to)| Change::MoveHolder { name, from, to }),
-        1 => (name(), 1.0..9.0f32).prop_map(|(name, r)| Change::Rates { name, rates: vec![r, r + 1.0] }),
-        1 => server().prop_map(Change::Gone),
-        1 => server().prop_map(Change::Back),
-        1 => (server(), 0u32..2).prop_map(|(server, rack)| Change::Stands { server, rack: RackNo(rack) }),
+        1 => (name(), 1.0..9.0f32).prop_map(|(name, r)| Change::SetRates { name, rates: vec![r, r + 1.0] }),
+        1 => server().prop_map(Change::ServerGone),
+        1 => server().prop_map(Change::ServerBack),
+        1 => (server(), 0u32..2).prop_map(|(server, rack)| Change::SetRack { server, rack: RackNo(rack) }),
     ]
 }
 
@@ -157,21 +161,21 @@
             // Most batches follow on; some begin with what is known, some leave something out.
             let from = v.number().saturating_add_signed(shift.min(1)) + 1;
             let from = if shift > 1 { v.number() + 1 } else { from };
-            let numbered: Vec<Numbered> =
-                batch.into_iter().enumerate().map(|(n, change)| Numbered { number: from + n as u64, change }).collect();
+            let numbered: Vec<NumberedChange> =
+                batch.into_iter().enumerate().map(|(n, change)| NumberedChange { number: from + n as u64, change }).collect();
             let mut next = plain.clone();
-            let new: Vec<&Numbered> = numbered.iter().filter(|n| n.number > v.number()).collect();
+            let new: Vec<&NumberedChange> = numbered.iter().filter(|n| n.number > v.number()).collect();
             let gap = new.first().is_some_and(|n| n.number != v.number() + 1);
             let fits = !gap && new.iter().all(|n| next.apply(&n.change));
-            match v.with(&numbered) {
+            match v.with_changes(&numbered) {
                 Ok(got) => {
                     prop_assert!(fits);
                     kept.push((v.clone(), plain.clone()));
                     prop_assert_eq!(got.number(), new.last().map_or(v.number(), |n| n.number));
                     (v, plain) = (got, next);
                 }
-                Err(Fault::Gap { have, got }) => prop_assert!(gap && have == v.number() && got > have + 1),
-                Err(Fault::Conflict { .. }) => prop_assert!(!gap && !fits),
+                Err(ApplyError::Gap { have, got }) => prop_assert!(gap && have == v.number() && got > have + 1),
+                Err(ApplyError::Conflict { .. }) => prop_assert!(!gap && !fits),
             }
             same(&v, &plain)?;
         }
@@ -186,27 +190,32 @@
 
 #[test]
 fn what_cannot_be_is_refused_with_its_number() {
-    let put = |title: Title| vec![Numbered { number: 1, change: Change::Put(title) }];
-    let good =
-        Title { name: "a".into(), rates: vec![1.0, 2.0], groups: 1, length: 1, holders: vec![ServerId(1)] };
+    let put = |title: Title| vec![NumberedChange { number: 1, change: Change::PutTitle(title) }];
+    let good = Title {
+        name: "a".into(),
+        rates: vec![1.0, 2.0],
+        group_mask: 1,
+        duration_ms: 1,
+        holders: vec![ServerId(1)],
+    };
     let empty = whole(0, &Plain::default(), None);
-    assert!(empty.with(&put(good.clone())).is_ok());
+    assert!(empty.with_changes(&put(good.clone())).is_ok());
     for bad in [
         Title { name: String::new(), ..good.clone() },
         Title { name: "x".repeat(600), ..good.clone() },
         Title { rates: vec![], ..good.clone() },
         Title { rates: vec![2.0, 1.0], ..good.clone() },
         Title { rates: vec![f32::NAN], ..good.clone() },
-        Title { groups: 2, ..good.clone() },
+        Title { group_mask: 2, ..good.clone() },
         Title { holders: vec![ServerId(2), ServerId(1)], ..good.clone() },
         Title { holders: vec![ServerId(1), ServerId(1)], ..good.clone() },
     ] {
-        let told = empty.with(&put(bad)).unwrap_err();
-        assert!(matches!(told, Fault::Conflict { number: 1, .. }), "{told}");
+        let told = empty.with_changes(&put(bad)).unwrap_err();
+        assert!(matches!(told, ApplyError::Conflict { number: 1, .. }), "{told}");
     }
-    let mut twice = Builder::new(7, vec!["g".into()], None).unwrap();
-    twice.title(Packed::new(&good).unwrap()).unwrap();
-    assert_eq!(twice.title(Packed::new(&good).unwrap()).unwrap_err(), "title \"a\" is given twice");
+    let mut twice = VersionBuilder::new(7, vec!["g".into()], None).unwrap();
+    twice.add_title(PackedTitle::new(&good).unwrap()).unwrap();
+    assert_eq!(twice.add_title(PackedTitle::new(&good).unwrap()).unwrap_err(), "title \"a\" is given twice");
 }
 
 #[test]
@@ -214,15 +223,15 @@
     let title = |n: u32| Title {
         name: format!("t{n}"),
         rates: vec![1.0],
-        groups: 1,
-        length: 1,
+        group_mask: 1,
+        duration_ms: 1,
         holders: vec![ServerId(n % 4)],
     };
     let plain =
         Plain { titles: (0..1_000).map(|n| (format!("t{n}"), title(n))).collect(), ..Plain::default() };
     let old = std::sync::Arc::new(whole(9, &plain, None));
     let change = Change::AddHolder { name: "t5".into(), server: ServerId(9) };
-    let new = old.with(&[Numbered { number: 10, change }]).unwrap();
+    let new = old.with_changes(&[NumberedChange { number: 10, change }]).unwrap();
     assert_eq!(old.title("t5").unwrap().holders().count(), 1);
     assert_eq!(new.title("t5").unwrap().holders().count(), 2);
     let (reader, gone) = (old.clone(), std::sync::Arc::downgrade(&old));
@@ -233,6 +242,6 @@
     // A load beside it keeps the very bytes of the titles that are the same.
     let again = whole(10, &plain, Some(new.clone()));
     let same_bytes =
-        |n: &str| new.title(n).unwrap().bytes().as_ptr() == again.title(n).unwrap().bytes().as_ptr();
+        |n: &str| new.title(n).unwrap().as_bytes().as_ptr() == again.title(n).unwrap().as_bytes().as_ptr();
     assert!(same_bytes("t6") && !same_bytes("t5"));
 }
--- a/crates/cli/src/bench_catalogue.rs
+++ b/crates/cli/src/bench_catalogue.rs
@@ -9,13 +9,13 @@
 use std::process::{Command, Stdio};
 use std::time::Instant;
 use walnutline::ids::{RackNo, ServerId};
-use walnutline_catalogue::change::{Change, Numbered, Title};
-use walnutline_catalogue::current::Writer;
-use walnutline_catalogue::demand::Demand;
-use walnutline_catalogue::names::hash;
-use walnutline_catalogue::packed::Packed;
-use walnutline_catalogue::snapshot::{pieces, Reader};
-use walnutline_catalogue::version::{BoxOf, Builder, Version};
+use walnutline_catalogue::change::{Change, NumberedChange, Title};
+use walnutline_catalogue::current::VersionWriter;
+use walnutline_catalogue::demand::DemandSketch;
+use walnutline_catalogue::name_index::hash_name;
+use walnutline_catalogue::packed_title::PackedTitle;
+use walnutline_catalogue::snapshot::{encode, SnapshotReader};
+use walnutline_catalogue::version::{BoxState, Version, VersionBuilder};
 use walnutline_rehearsal::publisher::Publisher;
 
 const BOXES: u32 = 300;
@@ -54,16 +54,17 @@
     let factor = 0.5 + rng.f32();
     let rates = [200.0, 400.0, 700.0, 1_200.0].map(|kb| kb * factor).to_vec();
     let name = format!("{:02}/{:03}/notice-{n:07}", n % 64, n / 64 % 500);
-    Title { name, rates, groups: 1 + n % 3, length: rng.u32(10_000..600_000), holders }
+    Title { name, rates, group_mask: 1 + n % 3, duration_ms: rng.u32(10_000..600_000), holders }
 }
 
 fn version(titles: u32) -> Version {
     let groups = vec!["council-notice".into(), "board-loop".into()];
-    let mut b = Builder::new(1, groups, None).expect("two groups");
-    (0..BOXES).for_each(|n| b.tell(BoxOf { server: ServerId(n), gone: false, rack: Some(RackNo(n % 20)) }));
+    let mut b = VersionBuilder::new(1, groups, None).expect("two groups");
+    (0..BOXES)
+        .for_each(|n| b.add_box(BoxState { server: ServerId(n), gone: false, rack: Some(RackNo(n % 20)) }));
     for n in 0..titles {
-        let packed = Packed::new(&title(n)).expect("a sound title");
-        b.title(packed).expect("each name once");
+        let packed = PackedTitle::new(&title(n)).expect("a sound title");
+        b.add_title(packed).expect("each name once");
     }
     b.finish()
 }
@@ -153,8 +154,8 @@
             let v = version(titles);
             let cost = built(began);
             let find = look(titles, |name| v.title(name).map(|t| t.holders().count()));
-            let of_box = time(|| (0..BOXES).map(|b| v.held_by(ServerId(b)).count()).sum::<usize>()).0;
-            let prefix = look(titles, |name| v.beginning_with(&name[..name.len() - 2], None, 20).len());
+            let of_box = time(|| (0..BOXES).map(|b| v.titles_on(ServerId(b)).count()).sum::<usize>()).0;
+            let prefix = look(titles, |name| v.titles_with_prefix(&name[..name.len() - 2], None, 20).len());
             (cost, find, of_box, prefix)
         }
         "HashMap" => {
@@ -248,9 +249,9 @@
     );
     let mut rng = fastrand::Rng::with_seed(9);
     let draw = |u: f64| ((2e6f64.powf(u) - 1.0) as u64).min(1_999_999);
-    let keys: Vec<u64> = (0..ASKED).map(|_| hash(&draw(rng.f64()).to_string())).collect();
-    let mut sketch = Demand::new(1_024, 10_000.0);
-    let took = time(|| keys.iter().enumerate().for_each(|(n, k)| sketch.count(*k, n as f64 * 0.1))).0;
+    let keys: Vec<u64> = (0..ASKED).map(|_| hash_name(&draw(rng.f64()).to_string())).collect();
+    let mut sketch = DemandSketch::new(1_024, 10_000.0);
+    let took = time(|| keys.iter().enumerate().for_each(|(n, k)| sketch.record(*k, n as f64 * 0.1))).0;
     let mut exact: HashMap<u64, f64> = HashMap::new();
     let from = |n: usize| ((n as f64 * 0.1 - ASKED as f64 * 0.1) / 10_000.0).exp2();
     let plain =
@@ -261,13 +262,13 @@
     true_top.sort_by(|a, b| b.0.total_cmp(&a.0));
     let top = sketch.top(64, now);
     let hit = true_top[..64].iter().filter(|(_, k)| top.iter().any(|t| t.key == *k)).count();
-    let off = |(w, k): &(f64, u64)| sketch.of(*k, now).map_or(1.0, |t| (t.weight - w) / w);
+    let off = |(w, k): &(f64, u64)| sketch.get(*k, now).map_or(1.0, |t| (t.weight - w) / w);
     let worst = true_top[..64].iter().map(off).fold(0.0, f64::max);
     println!(
         "sketch of 1024 places: {:.0} ns a request; bound {:.1} of {:.0}",
         per(took),
-        sketch.bound(now),
-        sketch.total(now)
+        sketch.error_bound(now),
+        sketch.total_weight(now)
     );
     println!("{hit} of the 64 heaviest found, their weights at most {:.1} % too high", worst * 100.0);
     println!("exact table: {:.0} ns a request, {} entries", per(plain), exact.len());
@@ -275,7 +276,7 @@
 
 /// What it takes to put changes in force beside a version of so many titles.
 fn swaps(titles: u32) -> Result<(), String> {
-    let mut writer = Writer::default();
+    let mut writer = VersionWriter::default();
     let before = resident("self");
     writer.publish(version(titles));
     let steady = resident("self") - before;
@@ -288,10 +289,13 @@
             let change = |n: u32| {
                 let Title { name, rates, .. } = title(rng.u32(0..titles));
                 let rates = rates.iter().map(|r| r * 1.01).collect();
-                Numbered { number: v.number() + 1 + u64::from(n), change: Change::Rates { name, rates } }
+                NumberedChange {
+                    number: v.number() + 1 + u64::from(n),
+                    change: Change::SetRates { name, rates },
+                }
             };
-            let changes: Vec<Numbered> = (0..batch).map(change).collect();
-            let (took, next) = time(|| v.with(&changes));
+            let changes: Vec<NumberedChange> = (0..batch).map(change).collect();
+            let (took, next) = time(|| v.with_changes(&changes));
             h.record((took * 1e9) as u64).map_err(|e| e.to_string())?;
             drop(v);
             writer.publish(next.map_err(|fault| fault.to_string())?);
@@ -303,7 +307,8 @@
     let mut h = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
     for n in 0..BOXES {
         let number = v.number() + 1;
-        let (took, next) = time(|| v.with(&[Numbered { number, change: Change::Gone(ServerId(n)) }]));
+        let (took, next) =
+            time(|| v.with_changes(&[NumberedChange { number, change: Change::ServerGone(ServerId(n)) }]));
         h.record((took * 1e9) as u64).map_err(|e| e.to_string())?;
         drop(next);
     }
@@ -311,10 +316,10 @@
         "a box gone, its titles counted anew: median {:.0} us",
         h.value_at_quantile(0.5) as f64 / 1_000.0
     );
-    let bytes: Vec<u8> = pieces(&v).flatten().collect();
+    let bytes: Vec<u8> = encode(&v).flatten().collect();
     let before = resident("self");
     let (took, loaded) = time(|| {
-        let mut r = Reader::new(Some(v.clone()));
+        let mut r = SnapshotReader::new(Some(v.clone()));
         bytes.chunks(256 << 10).try_for_each(|piece| r.push(piece)).and_then(|()| r.finish())
     });
     let loaded = loaded.map_err(|bad| bad.to_string())?;
@@ -341,15 +346,16 @@
         if line == "replace" {
             // The same titles under another number: the front takes it for another catalogue.
             number += 1_000_000;
-            let mut b = Builder::new(number, large.groups().to_vec(), None)?;
-            large.boxes().for_each(|of| b.tell(of));
-            large.titles().try_for_each(|t| b.title(t.clone()))?;
+            let mut b = VersionBuilder::new(number, large.groups().to_vec(), None)?;
+            large.boxes().for_each(|of| b.add_box(of));
+            large.titles().try_for_each(|t| b.add_title(t.clone()))?;
             let next = b.finish();
             println!("ready");
             publisher.replace(next);
         } else {
             println!("ready");
-            let change = |n: u32| Change::Rates { name: title(n % titles).name, rates: vec![n as f32 + 1.0] };
+            let change =
+                |n: u32| Change::SetRates { name: title(n % titles).name, rates: vec![n as f32 + 1.0] };
             publisher.change((0..50_000).map(change))?;
         }
     }
--- a/crates/cli/src/catalogue.rs
+++ b/crates/cli/src/catalogue.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use walnutline::ids::ServerId;
-use walnutline_catalogue::packed::Packed;
+use walnutline_catalogue::packed_title::PackedTitle;
 use walnutline_catalogue::version::Version;
-use walnutline_catalogue_store::{read_snapshot, snapshots, write_snapshot, Store};
+use walnutline_catalogue_store::{list_snapshots, read_snapshot, write_snapshot, Store};
 
 #[derive(clap::Subcommand)]
 pub enum Command {
@@ -99,15 +99,15 @@
         return Err(format!("{}: no such folder", store.display()));
     }
     // Only to look must not make a store.
-    if !store.join("changes.redb").exists() && snapshots(store).is_empty() {
+    if !store.join("changes.redb").exists() && list_snapshots(store).is_empty() {
         return Err(format!("{}: no catalogue is stored", store.display()));
     }
     let mut told = Told::new("titles read:");
     let opened = Store::open(store, &mut |done, all| told.tell(done, all));
     let (version, faults) = match opened {
-        Ok((_, held)) => (held.version, held.faults),
+        Ok((_, held)) => (held.version, held.errors),
         Err(fault) => {
-            let Some((number, path)) = snapshots(store).into_iter().next() else {
+            let Some((number, path)) = list_snapshots(store).into_iter().next() else {
                 return Err(fault.to_string());
             };
             eprintln!("{fault}");
@@ -137,15 +137,15 @@
     drop(told);
     let mut told = Told::new("pieces written:");
     write_snapshot(store, &v, &mut |done, all| told.tell(done, all)).map_err(|e| e.to_string())?;
-    opened.replaced_by(v.number()).map_err(|e| e.to_string())?;
+    opened.reset_to_snapshot(v.number()).map_err(|e| e.to_string())?;
     println!("{} titles in {} boxes, as of change {}", v.len(), v.boxes().count(), v.number());
     Ok(())
 }
 
-fn line(v: &Version, t: &Packed) -> String {
+fn line(v: &Version, t: &PackedTitle) -> String {
     let rates: Vec<String> = t.rates().map(|r| r.to_string()).collect();
     let groups: Vec<&str> = (0..32)
-        .filter(|bit| t.groups() >> bit & 1 == 1)
+        .filter(|bit| t.group_mask() >> bit & 1 == 1)
         .filter_map(|bit| v.groups().get(bit as usize).map(String::as_str))
         .collect();
     let holders: Vec<String> =
@@ -155,14 +155,14 @@
         t.name(),
         rates.join(" "),
         groups.join(" "),
-        f64::from(t.length()) / 1_000.0,
+        f64::from(t.duration_ms()) / 1_000.0,
         if holders.is_empty() { "none".into() } else { holders.join(" ") }
     )
 }
 
 fn show(v: &Version, title: &str, prefix: bool, most: usize) -> Result<(), String> {
     if prefix {
-        v.beginning_with(title, None, most).into_iter().for_each(|t| println!("{}", line(v, t)));
+        v.titles_with_prefix(title, None, most).into_iter().for_each(|t| println!("{}", line(v, t)));
         return Ok(());
     }
     match v.title(title) {
@@ -170,7 +170,8 @@
         None => {
             // The longest beginning that some title has helps more than a bare no.
             let begins = (0..=title.len()).rev().filter(|n| title.is_char_boundary(*n));
-            let near = begins.map(|n| v.beginning_with(&title[..n], None, 3)).find(|found| !found.is_empty());
+            let near =
+                begins.map(|n| v.titles_with_prefix(&title[..n], None, 3)).find(|found| !found.is_empty());
             let near: Vec<&str> = near.iter().flatten().map(|t| t.name()).collect();
             return Err(format!("title {title:?} is not known; near it: {}", near.join(", ")));
         }
@@ -182,17 +183,17 @@
     let of = v.boxes().find(|b| b.server == server);
     let of = of.ok_or_else(|| format!("box {} is not known to the catalogue", server.0))?;
     let rack = of.rack.map_or("no rack told".into(), |r| format!("rack {}", r.0));
-    let lost = v.lost_with(&[server]);
+    let lost = v.unreachable_without(&[server]);
     println!(
         "box {}  {rack}  {}  holds {} titles, {} of them nowhere else sound",
         server.0,
         if of.gone { "gone" } else { "sound" },
-        v.count_of(server),
+        v.title_count_on(server),
         lost.len()
     );
     if titles {
         let lost: BTreeSet<&str> = lost.iter().map(|t| t.name()).collect();
-        for t in v.held_by(server) {
+        for t in v.titles_on(server) {
             println!("{}{}", line(v, t), if lost.contains(t.name()) { "  <- here alone" } else { "" });
         }
     }
@@ -200,18 +201,18 @@
 }
 
 fn thin(v: &Version, most: usize) -> Result<(), String> {
-    let (none, one) = v.thin();
+    let (none, one) = v.under_replicated_counts();
     println!("{} titles; {none} without a sound holder, {one} with one", v.len());
     for (left, count) in [(0, none), (1, one)] {
-        v.thinly_held(left).take(most).for_each(|t| println!("{}", line(v, t)));
+        v.under_replicated(left).take(most).for_each(|t| println!("{}", line(v, t)));
         if count > most as u64 {
             println!("and {} more", count - most as u64);
         }
     }
     let racks: BTreeSet<_> = v.boxes().filter_map(|b| b.rack).collect();
     for rack in racks {
-        let (boxes, held) = v.in_rack(rack);
-        let lost = v.lost_with(&boxes).len();
+        let (boxes, held) = v.rack_contents(rack);
+        let lost = v.unreachable_without(&boxes).len();
         println!(
             "rack {}: {} boxes, {} titles; {lost} out of reach without it",
             rack.0,
@@ -247,24 +248,24 @@
             return Err(format!("title {:?} is not found by its name", t.name()));
         }
         t.holders().for_each(|h| *held.entry(h).or_default() += 1);
-        if let Some(n) = thin.get_mut(v.sound_holders(t).count()) {
+        if let Some(n) = thin.get_mut(v.available_holders(t).count()) {
             *n += 1;
         }
     }
     for b in v.boxes() {
         let counted = held.get(&b.server).copied().unwrap_or(0);
-        if v.count_of(b.server) != counted {
+        if v.title_count_on(b.server) != counted {
             return Err(format!(
                 "box {}: {} titles in its index, {counted} counted",
                 b.server.0,
-                v.count_of(b.server)
+                v.title_count_on(b.server)
             ));
         }
     }
-    if v.thin() != (thin[0], thin[1]) {
-        return Err(format!("thinly held: {:?} in the index, {thin:?} counted", v.thin()));
+    if v.under_replicated_counts() != (thin[0], thin[1]) {
+        return Err(format!("thinly held: {:?} in the index, {thin:?} counted", v.under_replicated_counts()));
     }
-    let ordered = v.beginning_with("", None, usize::MAX);
+    let ordered = v.titles_with_prefix("", None, usize::MAX);
     if ordered.len() != v.len() || !ordered.windows(2).all(|w| w[0].name() < w[1].name()) {
         return Err("the index by prefix does not have all titles in order".into());
     }
@@ -273,7 +274,7 @@
 
 fn verify(store: &Path) -> Result<(), String> {
     let mut faults = 0;
-    for (_, path) in snapshots(store) {
+    for (_, path) in list_snapshots(store) {
         let mut told = Told::new("titles read:");
         let read = read_snapshot(&path, None, &mut |done, all| told.tell(done, all));
         let checked = read.map_err(|e| e.to_string()).and_then(|v| check_indexes(&v).map(|()| v));
@@ -286,7 +287,7 @@
         }
     }
     let (_, held) = Store::open(store, &mut |_, _| {}).map_err(|e| e.to_string())?;
-    held.faults.iter().for_each(|f| println!("{f}"));
+    held.errors.iter().for_each(|f| println!("{f}"));
     match &held.version {
         Some(v) => {
             check_indexes(v)?;
@@ -294,12 +295,12 @@
                 "stored: {} titles, change {}, {} since the newest snapshot",
                 v.len(),
                 v.number(),
-                held.since
+                held.changes_since_snapshot
             );
         }
         None => println!("stored: no catalogue"),
     }
-    match faults + held.faults.len() {
+    match faults + held.errors.len() {
         0 => Ok(()),
         n => Err(format!("{n} faults")),
     }
@@ -307,14 +308,14 @@
 
 fn compact(store: &Path) -> Result<(), String> {
     let (mut opened, held) = Store::open(store, &mut |_, _| {}).map_err(|e| e.to_string())?;
-    if let Some(fault) = held.faults.first() {
+    if let Some(fault) = held.errors.first() {
         return Err(format!("{fault}; nothing is removed while something cannot be read"));
     }
     let v = held.version.ok_or_else(|| format!("{}: no catalogue is stored", store.display()))?;
     let mut told = Told::new("pieces written:");
     write_snapshot(store, &v, &mut |done, all| told.tell(done, all)).map_err(|e| e.to_string())?;
     drop(told);
-    opened.replaced_by(v.number()).map_err(|e| e.to_string())?;
+    opened.reset_to_snapshot(v.number()).map_err(|e| e.to_string())?;
     opened.compact().map_err(|e| e.to_string())?;
     println!("{} titles, change {}, in one snapshot", v.len(), v.number());
     Ok(())
--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -7,28 +7,28 @@
 use support::*;
 use test_case::test_case;
 use walnutline::ids::{RackNo, ServerId};
-use walnutline_catalogue::change::{Change, Numbered, Title};
-use walnutline_catalogue::packed::Packed;
-use walnutline_catalogue::version::{BoxOf, Builder, Version};
+use walnutline_catalogue::change::{Change, NumberedChange, Title};
+use walnutline_catalogue::packed_title::PackedTitle;
+use walnutline_catalogue::version::{BoxState, Version, VersionBuilder};
 use walnutline_catalogue_store::write_snapshot;
 use walnutline_rehearsal::publisher::Publisher;
 
 fn title(name: &str, rate: f32, holders: &[u32]) -> Title {
     let holders = holders.iter().copied().map(ServerId).collect();
-    Title { name: name.into(), rates: vec![rate, 2.0 * rate], groups: 3, length: 60_000, holders }
+    Title { name: name.into(), rates: vec![rate, 2.0 * rate], group_mask: 3, duration_ms: 60_000, holders }
 }
 
 fn version(number: u64, titles: &[Title], gone: &[u32]) -> Version {
-    let mut b = Builder::new(number, vec!["council-notice".into(), "paid".into()], None).unwrap();
+    let mut b = VersionBuilder::new(number, vec!["council-notice".into(), "paid".into()], None).unwrap();
     for n in 0..4 {
-        b.tell(BoxOf { server: ServerId(n), gone: gone.contains(&n), rack: Some(RackNo(n % 2)) });
+        b.add_box(BoxState { server: ServerId(n), gone: gone.contains(&n), rack: Some(RackNo(n % 2)) });
     }
-    titles.iter().for_each(|t| b.title(Packed::new(t).unwrap()).unwrap());
+    titles.iter().for_each(|t| b.add_title(PackedTitle::new(t).unwrap()).unwrap());
     b.finish()
 }
 
 fn rates(name: &str, rate: f32) -> Change {
-    Change::Rates { name: name.into(), rates: vec![rate, 2.0 * rate] }
+    Change::SetRates { name: name.into(), rates: vec![rate, 2.0 * rate] }
 }
 
 struct Place {
@@ -95,10 +95,10 @@
     let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
     p.until_rate("water", 111);
     assert_eq!(p.rate("unknown"), 200, "the ladder's");
-    p.publisher.change([rates("water", 99.0), Change::Put(title("snow", 120.0, &[1]))]).unwrap();
+    p.publisher.change([rates("water", 99.0), Change::PutTitle(title("snow", 120.0, &[1]))]).unwrap();
     p.until_rate("water", 99);
     assert_eq!(p.rate("snow"), 120, "both changes of one batch");
-    p.publisher.change([Change::Drop { name: "snow".into() }]).unwrap();
+    p.publisher.change([Change::RemoveTitle { name: "snow".into() }]).unwrap();
     p.until_rate("snow", 200);
 }
 
@@ -196,8 +196,8 @@
     p.until_rate("water", 111);
     p.publisher.change([rates("water", 112.0)]).unwrap();
     p.until_rate("water", 112);
-    let drop = Change::Drop { name: "unheard-of".into() };
-    let wrong = |n: &u64| Numbered { number: *n, change: drop.clone() };
+    let drop = Change::RemoveTitle { name: "unheard-of".into() };
+    let wrong = |n: &u64| NumberedChange { number: *n, change: drop.clone() };
     p.publisher.say(numbers.iter().map(wrong).collect());
     // Seen to be taken: by a stream opened anew, or by what follows on the same stream.
     until("the stream is in order again", || (p.publisher.asked() == asked).then_some(()));
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -1,6 +1,6 @@
 //! Keeps the catalogue: reads what was stored, follows its publisher, writes changes ahead of putting them in force.
 //! One thread, since its reads and its disk wait; requests only ever take the version in force. Where a publisher
-//! stands is [`follow::Follow`]'s to say; what is kept, [`keep`]'s.
+//! stands is [`follower::FeedFollower`]'s to say; what is kept, [`retention`]'s.
 use crate::body::{Body, Got};
 use crate::clock::Clock;
 use std::io;
@@ -10,12 +10,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use walnutline::ids::ServerId;
-use walnutline_catalogue::current::{Current, Writer};
-use walnutline_catalogue::differ::Sort;
-use walnutline_catalogue::follow::{Follow, Next};
+use walnutline_catalogue::current::{CurrentVersion, VersionWriter};
+use walnutline_catalogue::differences::DifferenceKind;
+use walnutline_catalogue::follower::{FeedFollower, NextFetch};
 use walnutline_catalogue::version::Version;
-use walnutline_catalogue::{follow, keep, snapshot, wire};
-use walnutline_catalogue_store::{write_snapshot, Fault, Part, Store};
+use walnutline_catalogue::{change_json, follower, retention, snapshot};
+use walnutline_catalogue_store::{write_snapshot, SnapshotWriter, Store, StoreError};
 use walnutline_control::events::{Event, Reader};
 use walnutline_desk::live::Waits;
 use walnutline_desk::retry::Retry;
@@ -29,11 +29,11 @@
 const GATHERING: Duration = Duration::from_millis(5);
 
 /// Counts of differences by sort and box.
-pub type Counts = Vec<(Sort, Option<ServerId>, u64)>;
+pub type Counts = Vec<(DifferenceKind, Option<ServerId>, u64)>;
 
 /// What requests have of the catalogue.
 pub struct Known {
-    current: Arc<Current>,
+    current: Arc<CurrentVersion>,
     pub terms: CatalogueTerms,
     /// Differences counted so far, where they changed since they were last written down.
     differences: Mutex<Option<Counts>>,
@@ -59,19 +59,19 @@
     known: Arc<Known>,
     clock: Clock,
     waits: Waits,
-    writer: Writer,
+    writer: VersionWriter,
     /// Without it the catalogue is kept in memory alone.
     store: Option<Store>,
-    follow: Follow,
+    follow: FeedFollower,
     /// Changes since the newest snapshot, and the snapshot that is being written.
     since: u64,
-    snapshot: Option<JoinHandle<Result<PathBuf, Fault>>>,
+    snapshot: Option<JoinHandle<Result<PathBuf, StoreError>>>,
 }
 
 /// Starts to read the store and then to follow. The front serves meanwhile, without a catalogue until it is read; a store
 /// that cannot be read is told of, and the front goes on without it.
 pub fn start(terms: CatalogueTerms, clock: Clock, waits: Waits, seed: u64) -> io::Result<Arc<Known>> {
-    let writer = Writer::default();
+    let writer = VersionWriter::default();
     let known = Arc::new(Known { current: writer.current(), terms, differences: Mutex::default() });
     let mut keeper = Keeper {
         known: known.clone(),
@@ -79,7 +79,7 @@
         waits,
         writer,
         store: None,
-        follow: Follow::default(),
+        follow: FeedFollower::default(),
         since: 0,
         snapshot: None,
     };
@@ -106,16 +106,16 @@
                 return;
             }
         };
-        held.faults.iter().for_each(|f| tracing::error!(target: "walnutline::mode", "catalogue: {f}"));
+        held.errors.iter().for_each(|f| tracing::error!(target: "walnutline::mode", "catalogue: {f}"));
         match held.version {
             Some(v) => {
                 tracing::info!(target: "walnutline::mode", number = v.number(), titles = v.len(), "catalogue read");
-                self.follow = Follow::from((!v.is_empty()).then(|| v.number()));
+                self.follow = FeedFollower::resume_from((!v.is_empty()).then(|| v.number()));
                 self.writer.publish(v);
             }
             None => tracing::info!(target: "walnutline::mode", "starts without a catalogue: none is stored"),
         }
-        (self.store, self.since) = (Some(store), held.since);
+        (self.store, self.since) = (Some(store), held.changes_since_snapshot);
     }
 
     fn run(&mut self, seed: u64) {
@@ -127,12 +127,12 @@
         };
         let (mut retry, mut rng) = (Retry::default(), fastrand::Rng::with_seed(seed.rotate_left(16)));
         loop {
-            let done = match self.follow.next() {
-                Next::Whole => self.whole(at, &format!("{path}/snapshot")),
-                Next::After(n) => self.changes(at, &format!("{path}/changes"), n, &mut retry),
+            let done = match self.follow.next_fetch() {
+                NextFetch::Snapshot => self.whole(at, &format!("{path}/snapshot")),
+                NextFetch::ChangesAfter(n) => self.changes(at, &format!("{path}/changes"), n, &mut retry),
             };
             let why = match done {
-                Ok(()) if self.follow.next() != Next::Whole => continue,
+                Ok(()) if self.follow.next_fetch() != NextFetch::Snapshot => continue,
                 Ok(()) => "the changes after ours are no longer to be had".into(),
                 Err(e) => e.to_string(),
             };
@@ -148,7 +148,7 @@
 
     /// What is due beside the stream.
     fn beat(&mut self) {
-        self.writer.sweep();
+        self.writer.reclaim();
         let counts = self.known.differences.lock().unwrap_or_else(|e| e.into_inner()).take();
         if let Some(counts) = counts {
             let file = self.known.terms.folder.join("differences.json");
@@ -168,7 +168,7 @@
             }
         }
         let v = self.writer.current().load();
-        if self.store.is_some() && self.snapshot.is_none() && keep::snapshot_due(self.since, v.len()) {
+        if self.store.is_some() && self.snapshot.is_none() && retention::snapshot_due(self.since, v.len()) {
             self.since = 0;
             let folder = self.known.terms.folder.clone();
             let write = move || {
@@ -182,10 +182,14 @@
     /// Fetches a whole catalogue beside the one in force. It is on the disk before it is in force.
     fn whole(&mut self, at: SocketAddr, path: &str) -> io::Result<()> {
         let beside = self.writer.current().load();
-        let mut reader = snapshot::Reader::new((!beside.is_empty()).then_some(beside));
+        let mut reader = snapshot::SnapshotReader::new((!beside.is_empty()).then_some(beside));
         let folder = self.known.terms.folder.clone();
-        let mut part =
-            self.store.is_some().then(|| Part::create(&folder, "fetched")).transpose().map_err(other)?;
+        let mut part = self
+            .store
+            .is_some()
+            .then(|| SnapshotWriter::create(&folder, "fetched"))
+            .transpose()
+            .map_err(other)?;
         let mut body = Body::open(at, path, "", self.waits)?;
         let mut told = 0;
         loop {
@@ -218,10 +222,10 @@
             let _ = snapshot.join();
         }
         if let (Some(part), Some(store)) = (part, &self.store) {
-            part.finish(number).and_then(|_| store.replaced_by(number)).map_err(other)?;
+            part.finish(number).and_then(|_| store.reset_to_snapshot(number)).map_err(other)?;
         }
         self.writer.publish(v);
-        self.follow.in_force(number);
+        self.follow.mark_applied(number);
         self.since = 0;
         tracing::info!(target: "walnutline::mode", number, titles, "catalogue in force");
         Ok(())
@@ -231,14 +235,14 @@
         let mut body = Body::open(at, path, &format!("Last-Event-ID: {after}\r\n"), self.waits)?;
         let mut events = Reader::default();
         loop {
-            body.wait_at_most(if self.follow.due().is_some() { GATHERING } else { BEAT })?;
+            body.wait_at_most(if self.follow.batch_due_at().is_some() { GATHERING } else { BEAT })?;
             match body.read() {
                 Ok(Got::Bytes(n)) => {
                     for piece in body.bytes[..n].chunks(PIECE) {
                         let began = Instant::now();
                         for event in events.push(piece).map_err(other)? {
                             if event.name == "too-old" {
-                                self.follow.too_old();
+                                self.follow.history_expired();
                                 return Ok(());
                             }
                             self.heard(event)?;
@@ -246,7 +250,7 @@
                         rest(began);
                     }
                     // A stream that breaks at its first change has not worked.
-                    if self.follow.due().is_none() {
+                    if self.follow.batch_due_at().is_none() {
                         retry.worked();
                     }
                 }
@@ -261,7 +265,7 @@
                     return Err(e);
                 }
             }
-            if self.follow.due().is_some_and(|t| t <= self.clock.now()) {
+            if self.follow.batch_due_at().is_some_and(|t| t <= self.clock.now()) {
                 self.apply()?;
                 retry.worked();
             }
@@ -273,18 +277,18 @@
         if event.name != "change" {
             return Ok(());
         }
-        match wire::read(&event.data) {
-            Ok(n) => self.follow.heard(n, self.clock.now()),
+        match change_json::decode(&event.data) {
+            Ok(n) => self.follow.receive(n, self.clock.now()),
             Err(why) => {
                 tracing::error!("catalogue: event {:?}: {why}", event.id);
                 // What it said is missing: it is asked for again, and if it is no better then, all is fetched.
                 self.apply()?;
-                self.follow.unreadable();
+                self.follow.change_unreadable();
                 return Err(other(why));
             }
         }
         // A burst longer than a batch is applied as it comes.
-        if self.follow.due() == Some(f64::NEG_INFINITY) {
+        if self.follow.batch_due_at() == Some(f64::NEG_INFINITY) {
             self.apply()?;
         }
         Ok(())
@@ -292,16 +296,16 @@
 
     /// Puts the gathered changes in force: whole and on the disk, or not at all.
     fn apply(&mut self) -> io::Result<()> {
-        let batch = self.follow.take();
+        let batch = self.follow.take_batch();
         if batch.is_empty() {
             return Ok(());
         }
         let began = Instant::now();
-        let next = match self.writer.current().load().with(&batch) {
+        let next = match self.writer.current().load().with_changes(&batch) {
             Ok(next) => next,
             Err(fault) => {
                 tracing::warn!(target: "walnutline::mode", "catalogue: {fault}");
-                self.follow.refused(&fault);
+                self.follow.batch_rejected(&fault);
                 return Err(other(fault));
             }
         };
@@ -313,7 +317,7 @@
             }
         }
         self.since += batch.len() as u64;
-        self.follow.in_force(next.number());
+        self.follow.mark_applied(next.number());
         self.writer.publish(next);
         rest(began);
         Ok(())
@@ -323,7 +327,7 @@
 /// Leaves the processor to others after a piece of work.
 fn rest(began: Instant) {
     let worked = began.elapsed().as_secs_f64() * 1_000.0;
-    std::thread::sleep(Duration::from_secs_f64(follow::rest_after(worked) / 1_000.0));
+    std::thread::sleep(Duration::from_secs_f64(follower::pause_after(worked) / 1_000.0));
 }
 
 /// Puts this thread behind all that answer viewers: it runs where a processor has nothing else to do.
@@ -341,8 +345,8 @@
 }
 
 fn write_counts(file: &Path, counts: &Counts) -> io::Result<()> {
-    let line = |(sort, server, n): &(Sort, Option<ServerId>, u64)| {
-        serde_json::json!({ "sort": sort.name(), "box": server.map(|s| s.0), "count": n }).to_string()
+    let line = |(kind, server, n): &(DifferenceKind, Option<ServerId>, u64)| {
+        serde_json::json!({ "sort": kind.name(), "box": server.map(|s| s.0), "count": n }).to_string()
     };
     let lines: Vec<String> = counts.iter().map(line).collect();
     let part = file.with_extension("json.new");
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use walnutline::ids::{ServerId, SessId};
 use walnutline::terms::Terms;
-use walnutline_catalogue::advice::Advisor;
-use walnutline_catalogue::differ::Told;
+use walnutline_catalogue::advisor::RequestAdvisor;
+use walnutline_catalogue::differences::ComparedRequest;
 use walnutline_catalogue::version::Version;
 use walnutline_desk::live::{Answer, Ask, BoxLine, Do, FromBox, Live, Waits};
 use walnutline_gate::claims::SessionClaims;
@@ -126,7 +126,7 @@
     live: Live<Ticket>,
     media: HashMap<ServerId, Arc<str>>,
     lines: HashMap<ServerId, (u64, Line)>,
-    advisor: Option<Advisor>,
+    advisor: Option<RequestAdvisor>,
     /// When differences were last handed over to be written, and whether there are others since.
     differed: (f64, bool),
 }
@@ -142,7 +142,7 @@
     seed: u64,
 ) -> io::Result<()> {
     let live = Live::new(terms, waits, seed, shared.clock.now());
-    let advisor = shared.catalogue.as_ref().map(|k| Advisor::new(k.terms.price));
+    let advisor = shared.catalogue.as_ref().map(|k| RequestAdvisor::new(k.terms.price));
     let mut hub =
         Hub { shared, live, media: HashMap::new(), lines: HashMap::new(), advisor, differed: (0.0, false) };
     std::thread::Builder::new().name("hub".into()).spawn(move || {
@@ -240,9 +240,9 @@
         let Some(advisor) = &mut self.advisor else { return };
         let group = &self.shared.groups[ticket.group].name;
         let rungs = self.shared.ladder.len();
-        let told = Told { title: &ticket.title, group, holders: &ask.holders, rungs };
-        for d in advisor.asked(v, &told, now) {
-            let (difference, server) = (d.sort.name(), d.server.map(|s| s.0));
+        let told = ComparedRequest { title: &ticket.title, group, holders: &ask.holders, rungs };
+        for d in advisor.record_request(v, &told, now) {
+            let (difference, server) = (d.kind.name(), d.server.map(|s| s.0));
             tracing::info!(target: "walnutline::catalogue", title = ticket.title, difference, server, "differs");
         }
         self.differed.1 = true;
@@ -254,9 +254,9 @@
             let taken = known.differ(|| advisor.differences().counts().collect());
             self.differed = (now, !taken);
         }
-        if advisor.may_ask(now) {
+        if advisor.may_probe(now) {
             if let Some(v) = known.load() {
-                let servers = advisor.worth(&v, |s| self.live.heard_at(s), now);
+                let servers = advisor.probe_targets(&v, |s| self.live.heard_at(s), now);
                 self.live.ask_news(servers, now);
             }
         }
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use walnutline::ids::{GroupNo, ServerId, SessId, TitleId};
-use walnutline_catalogue::advice;
+use walnutline_catalogue::advisor;
 use walnutline_catalogue::version::Version;
 use walnutline_desk::live::Ask;
 use walnutline_gate::claims::Claims;
@@ -327,7 +327,7 @@
     /// The title's true rates, where the catalogue has them and they are to be reckoned with.
     fn rates(&self, v: &Version, title: &str) -> Option<Arc<[f64]>> {
         let wanted = self.shared.catalogue.as_ref().is_some_and(|k| k.terms.rates);
-        advice::rates(v, title, self.shared.ladder.len()).filter(|_| wanted)
+        advisor::title_rates(v, title, self.shared.ladder.len()).filter(|_| wanted)
     }
 
     fn renew(&self, id: &str, request: &Request) -> Begun {
--- a/crates/rehearsal/src/catalogue.rs
+++ b/crates/rehearsal/src/catalogue.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use walnutline::ids::{RackNo, ServerId};
 use walnutline_catalogue::change;
-use walnutline_catalogue::packed::Packed;
-use walnutline_catalogue::version::{BoxOf, Builder};
+use walnutline_catalogue::packed_title::PackedTitle;
+use walnutline_catalogue::version::{BoxState, VersionBuilder};
 
 /// What fronts make of a catalogue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
@@ -35,17 +35,18 @@
             return Ok(None);
         }
         let groups = crate::deployment::terms().groups.into_iter().map(|g| g.name).collect();
-        let mut b = Builder::new(1, groups, None)?;
+        let mut b = VersionBuilder::new(1, groups, None)?;
         for n in 0..script.boxes {
-            b.tell(BoxOf { server: ServerId(n), gone: false, rack: Some(RackNo(n % script.racks)) });
+            b.add_box(BoxState { server: ServerId(n), gone: false, rack: Some(RackNo(n % script.racks)) });
         }
         for t in titles {
             let mut holders: Vec<ServerId> = t.holders.iter().copied().map(ServerId).collect();
             holders.sort_unstable();
             let factor = factors.get(&t.name).copied().unwrap_or(1.0);
             let rates = kind.rung_kb.iter().map(|kb| (kb * factor) as f32).collect();
-            let title = change::Title { name: t.name.clone(), rates, groups: 3, length: 60_000, holders };
-            b.title(Packed::new(&title)?)?;
+            let title =
+                change::Title { name: t.name.clone(), rates, group_mask: 3, duration_ms: 60_000, holders };
+            b.add_title(PackedTitle::new(&title)?)?;
         }
         let (_, address) = Publisher::start(b.finish()).map_err(|e| format!("the publisher: {e}"))?;
         Ok(Some(address))
--- a/crates/rehearsal/src/publisher.rs
+++ b/crates/rehearsal/src/publisher.rs
@@ -3,16 +3,16 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
-use walnutline_catalogue::change::{Change, Numbered};
+use walnutline_catalogue::change::{Change, NumberedChange};
 use walnutline_catalogue::version::Version;
-use walnutline_catalogue::{snapshot, wire};
+use walnutline_catalogue::{change_json, snapshot};
 use walnutline_control::events::{self, Event};
 
 struct Inside {
     now: Arc<Version>,
-    changes: Vec<Numbered>,
+    changes: Vec<NumberedChange>,
     /// What is said besides to streams that are open: for wrong streams.
-    also: Vec<Vec<Numbered>>,
+    also: Vec<Vec<NumberedChange>>,
     /// Bytes of each snapshot that are flipped.
     flip: Option<usize>,
     snapshots: usize,
@@ -55,9 +55,9 @@
     pub fn change(&self, changes: impl IntoIterator<Item = Change>) -> Result<u64, String> {
         let mut inside = self.lock();
         let from = inside.now.number();
-        let numbered = (from + 1..).zip(changes).map(|(number, change)| Numbered { number, change });
-        let batch: Vec<Numbered> = numbered.collect();
-        inside.now = Arc::new(inside.now.with(&batch).map_err(|fault| fault.to_string())?);
+        let numbered = (from + 1..).zip(changes).map(|(number, change)| NumberedChange { number, change });
+        let batch: Vec<NumberedChange> = numbered.collect();
+        inside.now = Arc::new(inside.now.with_changes(&batch).map_err(|fault| fault.to_string())?);
         inside.changes.extend(batch);
         self.more.notify_all();
         Ok(inside.now.number())
@@ -68,7 +68,7 @@
     }
 
     /// Says something to the streams that are open, right or wrong.
-    pub fn say(&self, changes: Vec<Numbered>) {
+    pub fn say(&self, changes: Vec<NumberedChange>) {
         self.lock().also.push(changes);
         self.more.notify_all();
     }
@@ -104,7 +104,7 @@
                 (inside.now.clone(), inside.flip)
             };
             let mut at = 0;
-            for mut piece in snapshot::pieces(&now) {
+            for mut piece in snapshot::encode(&now) {
                 if let Some(b) = flip.and_then(|f| piece.get_mut(usize::checked_sub(f, at)?)) {
                     *b ^= 1;
                 }
@@ -124,7 +124,7 @@
             let oldest = inside.changes.first().map_or(inside.now.number() + 1, |c| c.number);
             let too_old = told + 1 < oldest || told > inside.now.number();
             let from = inside.changes.partition_point(|c| c.number <= told);
-            let mut say: Vec<Numbered> = inside.changes[from..].iter().take(1_000).cloned().collect();
+            let mut say: Vec<NumberedChange> = inside.changes[from..].iter().take(1_000).cloned().collect();
             told = say.last().map_or(told, |c| c.number);
             say.extend(inside.also[also..].iter().flatten().cloned());
             also = inside.also.len();
@@ -142,7 +142,7 @@
             drop(inside);
             let mut text = String::new();
             for n in &say {
-                let event = Event { id: Some(n.number), name: "change".into(), data: wire::write(n) };
+                let event = Event { id: Some(n.number), name: "change".into(), data: change_json::encode(n) };
                 text += &events::write(&event);
             }
             if too_old {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -7,7 +7,7 @@
 use walnutline::terms::{
     Budget, ColdTerms, Column, Group as TermsGroup, ListWay, Repeat, Scope, Terms, Weights,
 };
-use walnutline_catalogue::news::Price;
+use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
 use walnutline_gate::keys::{Entry, Ring};
@@ -158,10 +158,10 @@
             let (address, path) = source(s, "source", &mut f);
             address.map(|a| (a, path.trim_end_matches('/').to_owned()))
         }),
-        price: Price {
-            each: f.within(c.probes_each, "probes-each", 0.0, 10.0),
-            most: f.within(c.probes_saved, "probes-saved", 0.0, 1e5),
-            old: f.time(c.news_old, "news-old"),
+        price: ProbeBudget {
+            per_request: f.within(c.probes_each, "probes-each", 0.0, 10.0),
+            max_saved: f.within(c.probes_saved, "probes-saved", 0.0, 1e5),
+            stale_after: f.time(c.news_old, "news-old"),
         },
         rates: c.rates.unwrap_or(true),
     });
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use walnutline::ids::Ms;
 use walnutline::terms::Terms;
-use walnutline_catalogue::news::Price;
+use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
 use walnutline_gate::keys::Ring;
@@ -65,7 +65,7 @@
     /// Its publisher: address, and the path that `/snapshot` and `/changes` stand under.
     pub source: Option<(SocketAddr, String)>,
     /// What news of boxes may cost that is asked for ahead of requests.
-    pub price: Price,
+    pub price: ProbeBudget,
     /// Whether titles' true rates are reckoned with.
     pub rates: bool,
 }
--- a/crates/settings/src/titles.rs
+++ b/crates/settings/src/titles.rs
@@ -16,8 +16,8 @@
 use knus::span::Span;
 use walnutline::ids::{RackNo, ServerId};
 use walnutline_catalogue::change::Title;
-use walnutline_catalogue::packed::Packed;
-use walnutline_catalogue::version::{BoxOf, Builder, Version};
+use walnutline_catalogue::packed_title::PackedTitle;
+use walnutline_catalogue::version::{BoxState, Version, VersionBuilder};
 
 #[derive(knus::Decode)]
 struct Document {
@@ -80,13 +80,14 @@
     let names: Vec<String> = d.groups.iter().map(|g| g.value.clone()).collect();
     let number = d.number.map_or(Ok(0), |n| id(n, "number")).map_err(|f| vec![f])?;
     let at = d.groups.first().map_or(0, |g| g.at);
-    let mut builder = Builder::new(number.into(), names.clone(), None).map_err(|why| vec![(at, why)])?;
+    let mut builder =
+        VersionBuilder::new(number.into(), names.clone(), None).map_err(|why| vec![(at, why)])?;
     let mut faults = Vec::new();
     for b in d.boxes {
         let rack = b.rack.map(|r| id(r, "rack").map(RackNo)).transpose();
         match (id(b.id, "box"), rack) {
             (Ok(server), Ok(rack)) => {
-                builder.tell(BoxOf { server: ServerId(server), gone: b.gone.unwrap_or(false), rack })
+                builder.add_box(BoxState { server: ServerId(server), gone: b.gone.unwrap_or(false), rack })
             }
             (server, rack) => faults.extend(server.err().into_iter().chain(rack.err())),
         }
@@ -94,8 +95,8 @@
     for t in d.titles {
         let at = t.name.at;
         let done = title(t, &names).and_then(|t| {
-            let packed = Packed::new(&t).map_err(|why| (at, why))?;
-            builder.title(packed).map_err(|why| (at, why))
+            let packed = PackedTitle::new(&t).map_err(|why| (at, why))?;
+            builder.add_title(packed).map_err(|why| (at, why))
         });
         faults.extend(done.err());
     }
@@ -119,7 +120,7 @@
     }
     holders.sort_unstable();
     let rates = t.rates.iter().map(|r| r.value as f32).collect();
-    Ok(Title { name: t.name.value, rates, groups, length: id(t.length, "length")?, holders })
+    Ok(Title { name: t.name.value, rates, group_mask: groups, duration_ms: id(t.length, "length")?, holders })
 }
 
 #[cfg(test)]
@@ -132,11 +133,11 @@
     #[test]
     fn a_document_is_read() {
         let v = parse("c.kdl", GOOD).unwrap();
-        assert_eq!((v.number(), v.len(), v.thin()), (12, 1, (0, 1)));
-        let t = v.title("water").unwrap().title();
-        assert_eq!((t.rates, t.groups, t.length), (vec![180.0, 360.5], 2, 60_000));
+        assert_eq!((v.number(), v.len(), v.under_replicated_counts()), (12, 1, (0, 1)));
+        let t = v.title("water").unwrap().unpack();
+        assert_eq!((t.rates, t.group_mask, t.duration_ms), (vec![180.0, 360.5], 2, 60_000));
         assert_eq!(t.holders, [ServerId(3), ServerId(4)]);
-        assert_eq!(v.in_rack(RackNo(1)).0, t.holders);
+        assert_eq!(v.rack_contents(RackNo(1)).0, t.holders);
     }
 
     #[test]
