--- a/crates/catalogue/src/advisor.rs
+++ b/crates/catalogue/src/advisor.rs
@@ -1,5 +1,5 @@
-//! What the catalogue adds to one request, and what the requests add up to: demand, news worth having, differences.
-//! It never adds a holder and never takes one away.
+//! Catalogue data for single requests, and what is learned from the stream of requests: demand for titles, boxes worth
+//! probing, and differences from the catalogue. It never changes the list of holders of a request.
 use crate::demand::DemandSketch;
 use crate::differences::{ComparedRequest, Difference, DifferenceTracker};
 use crate::name_index::hash_name;
@@ -8,53 +8,63 @@
 use std::sync::Arc;
 use walnutline::ids::{Ms, ServerId};
 
-/// Places of the sketch of demand, and how fast demand is forgotten.
-const PLACES: usize = 1_024;
-const HALF_LIFE: Ms = 10_000.0;
+/// Titles that the demand sketch tracks.
+const SKETCH_CAPACITY: usize = 1_024;
+/// Time after which a request counts half in the demand sketch.
+const DEMAND_HALF_LIFE: Ms = 10_000.0;
 
-/// True rates of a title by rung, where the catalogue has one for each of `rungs`, in kB a second.
-pub fn title_rates(v: &Version, title: &str, rungs: usize) -> Option<Arc<[f64]>> {
-    let title = v.title(title).filter(|t| t.rates().len() == rungs)?;
+/// Returns the true rates of a title in kB/s, one for each rung. `None` if the catalogue does not list exactly `rungs`
+/// rates for it.
+pub fn title_rates(version: &Version, title: &str, rungs: usize) -> Option<Arc<[f64]>> {
+    let title = version.title(title).filter(|t| t.rates().len() == rungs)?;
     Some(title.rates().map(f64::from).collect())
 }
 
+/// Collects what requests reveal: demand, budget for probes, and differences from the catalogue.
 pub struct RequestAdvisor {
     demand: DemandSketch,
-    news: ProbePlanner,
+    probe_planner: ProbePlanner,
     differences: DifferenceTracker,
 }
 
 impl RequestAdvisor {
-    pub fn new(price: ProbeBudget) -> RequestAdvisor {
+    /// Creates an advisor that spends at most `budget` on probes.
+    pub fn new(budget: ProbeBudget) -> RequestAdvisor {
         RequestAdvisor {
-            demand: DemandSketch::new(PLACES, HALF_LIFE),
-            news: ProbePlanner::new(price),
+            demand: DemandSketch::new(SKETCH_CAPACITY, DEMAND_HALF_LIFE),
+            probe_planner: ProbePlanner::new(budget),
             differences: DifferenceTracker::default(),
         }
     }
 
-    /// A request was taken; what of it disagrees with the catalogue and was not told before.
-    pub fn record_request(&mut self, v: &Version, told: &ComparedRequest, now: Ms) -> Vec<Difference> {
-        self.demand.record(hash_name(told.title), now);
-        self.news.request_accepted();
-        self.differences.record(v, told)
+    /// Records an accepted request. Returns its differences from the catalogue that were not reported before.
+    pub fn record_request(
+        &mut self,
+        version: &Version,
+        request: &ComparedRequest,
+        now: Ms,
+    ) -> Vec<Difference> {
+        self.demand.record(hash_name(request.title), now);
+        self.probe_planner.request_accepted();
+        self.differences.record(version, request)
     }
 
-    /// Whether it is time to look for boxes to ask.
+    /// Whether the budget and the interval between plans allow probes now.
     pub fn may_probe(&self, now: Ms) -> bool {
-        self.news.may_probe(now)
+        self.probe_planner.may_probe(now)
     }
 
-    /// Boxes to ask for their load now: see [`ProbePlanner::probe_targets`].
+    /// Boxes to probe for their load now: see [`ProbePlanner::probe_targets`].
     pub fn probe_targets(
         &mut self,
-        v: &Version,
-        heard: impl Fn(ServerId) -> Option<Ms>,
+        version: &Version,
+        last_report_at: impl Fn(ServerId) -> Option<Ms>,
         now: Ms,
     ) -> Vec<ServerId> {
-        self.news.probe_targets(&self.demand, v, heard, now)
+        self.probe_planner.probe_targets(&self.demand, version, last_report_at, now)
     }
 
+    /// Differences between requests and the catalogue so far.
     pub fn differences(&self) -> &DifferenceTracker {
         &self.differences
     }
--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -1,66 +1,56 @@
-//! What may change in a catalogue, and why a batch of changes is refused. A batch is applied whole or not at all.
+//! Changes to a catalogue, and why a batch of them is rejected. A batch is applied as a whole or not at all.
 use walnutline::ids::{RackNo, ServerId};
 
-/// All that is known of a title.
+/// A title as the catalogue lists it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Title {
     pub name: String,
-    /// Its true rate at each rung of the ladder, in kB a second, ascending.
+    /// True rate at each rung of the ladder, in kB/s, ascending.
     pub rates: Vec<f32>,
-    /// Service groups that may play it, as bits by their position.
+    /// Service groups that may play the title: bit `n` stands for [`Version::groups`](crate::version::Version::groups)`[n]`.
     pub group_mask: u32,
-    /// Its length in milliseconds.
+    /// Duration in milliseconds.
     pub duration_ms: u32,
-    /// Boxes that hold it, ascending.
+    /// Boxes that hold the title, in ascending order.
     pub holders: Vec<ServerId>,
 }
 
+/// One change to a catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A title is new, or is told whole anew.
+    /// Adds a title, or replaces the title of that name.
     PutTitle(Title),
-    RemoveTitle {
-        name: String,
-    },
-    AddHolder {
-        name: String,
-        server: ServerId,
-    },
-    RemoveHolder {
-        name: String,
-        server: ServerId,
-    },
-    MoveHolder {
-        name: String,
-        from: ServerId,
-        to: ServerId,
-    },
-    SetRates {
-        name: String,
-        rates: Vec<f32>,
-    },
-    /// A box is away: its titles are out of reach there until it is back. What it holds stays known.
+    /// Removes a title.
+    RemoveTitle { name: String },
+    /// Adds a box to the holders of a title.
+    AddHolder { name: String, server: ServerId },
+    /// Removes a box from the holders of a title.
+    RemoveHolder { name: String, server: ServerId },
+    /// Replaces one holder of a title by another box.
+    MoveHolder { name: String, from: ServerId, to: ServerId },
+    /// Replaces the rates of a title, in kB/s.
+    SetRates { name: String, rates: Vec<f32> },
+    /// Marks a box as gone: it serves no title until it is back. The list of titles on it is kept.
     ServerGone(ServerId),
+    /// Marks a box as available again.
     ServerBack(ServerId),
-    /// A box stands in a rack.
-    SetRack {
-        server: ServerId,
-        rack: RackNo,
-    },
+    /// Sets the rack that a box is in.
+    SetRack { server: ServerId, rack: RackNo },
 }
 
-/// A change with its place in the stream: numbers grow by one.
+/// A change with its sequence number in the change feed. Numbers are consecutive.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NumberedChange {
     pub number: u64,
     pub change: Change,
 }
 
+/// Why a batch of changes was rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ApplyError {
-    /// Changes between these are missing: the stream is to be resumed after `have`.
+    /// Changes between `have` and `got` are missing: the feed should be resumed after `have`.
     Gap { have: u64, got: u64 },
-    /// A change does not fit what is known, so something was missed unseen: a whole catalogue is wanted.
+    /// A change contradicts the catalogue, so an earlier one was lost unnoticed: a new snapshot is needed.
     Conflict { number: u64, reason: String },
 }
 
--- a/crates/catalogue/src/current.rs
+++ b/crates/catalogue/src/current.rs
@@ -1,22 +1,25 @@
-//! The version in force. Readers take it without waiting for a writer; a version lives until its last reader is done.
+//! The current version of the catalogue. Readers load it without waiting for the writer, and a version lives until its
+//! last reader releases it.
 //!
-//! To free a large version takes as long as to walk it, and must not fall to the request that happens to be the last
-//! reader: what is replaced is kept by the writer and freed by [`VersionWriter::reclaim`], once nobody else has it.
+//! Freeing a large version takes as long as walking through it. So that this work does not fall on the request that
+//! happens to be the last reader, the writer keeps replaced versions, and [`VersionWriter::reclaim`] frees them once no
+//! reader has them.
 use crate::version::Version;
 use arc_swap::ArcSwap;
 use std::sync::Arc;
 
+/// The shared pointer to the current version.
 #[derive(Debug, Default)]
 pub struct CurrentVersion(ArcSwap<Version>);
 
 impl CurrentVersion {
-    /// The version in force, to be kept for a whole request.
+    /// Loads the current version. A request should keep the one it loaded until its end.
     pub fn load(&self) -> Arc<Version> {
         self.0.load_full()
     }
 }
 
-/// The one who changes the version in force.
+/// The single writer, which replaces the current version.
 #[derive(Debug, Default)]
 pub struct VersionWriter {
     current: Arc<CurrentVersion>,
@@ -24,19 +27,20 @@
 }
 
 impl VersionWriter {
-    /// For readers.
+    /// The pointer for readers.
     pub fn current(&self) -> Arc<CurrentVersion> {
         self.current.clone()
     }
 
-    pub fn publish(&mut self, v: Version) {
-        self.replaced.push(self.current.0.swap(Arc::new(v)));
+    /// Makes a version the current one.
+    pub fn publish(&mut self, version: Version) {
+        self.replaced.push(self.current.0.swap(Arc::new(version)));
         self.reclaim();
     }
 
-    /// Frees replaced versions that have no reader left; returns how many still have one.
+    /// Frees the replaced versions that have no readers left. Returns the number of those that still have some.
     pub fn reclaim(&mut self) -> usize {
-        // Nobody can take one anew: it is in force nowhere.
+        // A count of 1 cannot grow again: a replaced version can no longer be loaded.
         self.replaced.retain(|v| Arc::strong_count(v) > 1);
         self.replaced.len()
     }
@@ -53,30 +57,30 @@
     }
 
     #[test]
-    fn a_version_is_freed_by_its_writer_after_its_last_reader() {
+    fn a_version_is_freed_by_the_writer_after_its_last_reader() {
         let mut writer = VersionWriter::default();
         writer.publish(version(1));
         let reader = writer.current().load();
-        let watch = Arc::downgrade(&reader);
+        let weak = Arc::downgrade(&reader);
         writer.publish(version(2));
         assert_eq!((reader.number(), writer.current().load().number()), (1, 2));
         assert_eq!(writer.reclaim(), 1);
         drop(reader);
-        assert!(watch.upgrade().is_some(), "freed by its reader");
+        assert!(weak.upgrade().is_some(), "freed by the reader");
         assert_eq!(writer.reclaim(), 0);
-        assert!(watch.upgrade().is_none());
+        assert!(weak.upgrade().is_none());
     }
 
-    /// Readers on other threads see whole versions that never go back while the writer changes them.
+    /// Version numbers never decrease for readers on other threads while the writer publishes.
     #[test]
-    fn readers_never_see_it_go_back() {
+    fn readers_see_version_numbers_in_order() {
         let mut writer = VersionWriter::default();
-        let (current, over) = (writer.current(), AtomicBool::new(false));
+        let (current, stopped) = (writer.current(), AtomicBool::new(false));
         std::thread::scope(|s| {
             for _ in 0..3 {
                 s.spawn(|| {
                     let mut last = 0;
-                    while !over.load(Ordering::SeqCst) {
+                    while !stopped.load(Ordering::SeqCst) {
                         let n = current.load().number();
                         assert!(n >= last, "{n} after {last}");
                         last = n;
@@ -84,7 +88,7 @@
                 });
             }
             (1..20_000).for_each(|n| writer.publish(version(n)));
-            over.store(true, Ordering::SeqCst);
+            stopped.store(true, Ordering::SeqCst);
         });
         assert_eq!(writer.reclaim(), 0);
     }
--- a/crates/catalogue/src/differences.rs
+++ b/crates/catalogue/src/differences.rs
@@ -1,32 +1,35 @@
-//! Where a request's list and the catalogue disagree. The request is always right; this only tells. Each sort is
-//! counted by box, and told once for each state of the title.
+//! Differences between requests and the catalogue. The request always wins; differences are only reported. Each kind is
+//! counted by box, and reported once for each state of the title.
 //!
-//! Growth: one counter for each sort and box; at most [`MAX_REMEMBERED`] disagreements are remembered as told, the oldest
-//! forgotten first, so that a flood of names costs repeated lines and no memory.
+//! Growth: one counter for each kind and box. At most [`MAX_REMEMBERED`] reported differences are remembered, and the
+//! oldest is forgotten first: a flood of title names causes repeated log lines, but takes no more memory.
 use crate::name_index::{hash_bytes, hash_name};
 use crate::version::Version;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use walnutline::ids::ServerId;
 
+/// Reported differences that are remembered.
 pub const MAX_REMEMBERED: usize = 16_384;
 
+/// What a request and the catalogue disagree on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DifferenceKind {
     /// The catalogue does not have the title.
     UnknownTitle,
-    /// The request names a box that does not hold the title by the catalogue.
+    /// The request lists a box that is not a holder in the catalogue.
     UnknownHolder,
-    /// The catalogue's holder is not in the request.
+    /// The catalogue lists a holder that the request does not.
     MissingHolder,
-    /// The request names a box that is gone by the catalogue.
+    /// The request lists a box that is marked as gone in the catalogue.
     GoneHolder,
-    /// The title is not for this service group by the catalogue.
+    /// The catalogue does not list the title for the service group of the request.
     OtherGroup,
-    /// The title has not as many rungs as the ladder.
+    /// The title does not have as many rates as the ladder has rungs.
     Renditions,
 }
 
 impl DifferenceKind {
+    /// All kinds.
     pub const ALL: [DifferenceKind; 6] = [
         DifferenceKind::UnknownTitle,
         DifferenceKind::UnknownHolder,
@@ -36,6 +39,7 @@
         DifferenceKind::Renditions,
     ];
 
+    /// The name of the kind in logs and in `differences.json`.
     pub fn name(self) -> &'static str {
         match self {
             DifferenceKind::UnknownTitle => "unknown-title",
@@ -48,87 +52,98 @@
     }
 }
 
-/// A request as far as it can disagree.
+/// The parts of a request that are compared with the catalogue.
 #[derive(Debug, Clone, Copy)]
 pub struct ComparedRequest<'a> {
+    /// Name of the title.
     pub title: &'a str,
+    /// Name of the service group.
     pub group: &'a str,
-    /// Boxes that it names, in any order.
+    /// Boxes that the request lists as holders, in any order.
     pub holders: &'a [ServerId],
-    /// Rungs of the ladder.
+    /// Number of rungs of the ladder.
     pub rungs: usize,
 }
 
+/// One difference between a request and the catalogue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
+    /// What they disagree on.
     pub kind: DifferenceKind,
+    /// The box concerned, for kinds that concern one.
     pub server: Option<ServerId>,
 }
 
-/// All differences between a request and a version.
-pub fn find_differences(v: &Version, told: &ComparedRequest) -> Vec<Difference> {
+/// All differences between a request and a version of the catalogue.
+pub fn find_differences(version: &Version, request: &ComparedRequest) -> Vec<Difference> {
     let mut found = Vec::new();
-    let mut tell = |kind, server| found.push(Difference { kind, server });
-    let Some(title) = v.title(told.title) else {
-        tell(DifferenceKind::UnknownTitle, None);
+    let mut add = |kind, server| found.push(Difference { kind, server });
+    let Some(title) = version.title(request.title) else {
+        add(DifferenceKind::UnknownTitle, None);
         return found;
     };
-    for h in told.holders {
-        if !title.holds(*h) {
-            tell(DifferenceKind::UnknownHolder, Some(*h));
+    for holder in request.holders {
+        if !title.holds(*holder) {
+            add(DifferenceKind::UnknownHolder, Some(*holder));
         }
-        if v.is_gone(*h) {
-            tell(DifferenceKind::GoneHolder, Some(*h));
+        if version.is_gone(*holder) {
+            add(DifferenceKind::GoneHolder, Some(*holder));
         }
     }
-    for h in title.holders().filter(|h| !told.holders.contains(h)) {
-        tell(DifferenceKind::MissingHolder, Some(h));
+    for holder in title.holders().filter(|h| !request.holders.contains(h)) {
+        add(DifferenceKind::MissingHolder, Some(holder));
     }
-    let bit = v.groups().iter().position(|g| g == told.group);
+    let bit = version.groups().iter().position(|g| g == request.group);
     if bit.is_none_or(|bit| title.group_mask() >> bit & 1 == 0) {
-        tell(DifferenceKind::OtherGroup, None);
+        add(DifferenceKind::OtherGroup, None);
     }
-    if title.rates().len() != told.rungs {
-        tell(DifferenceKind::Renditions, None);
+    if title.rates().len() != request.rungs {
+        add(DifferenceKind::Renditions, None);
     }
     found
 }
 
+/// Counts differences, and remembers which ones were reported.
 #[derive(Debug, Default)]
 pub struct DifferenceTracker {
     counts: BTreeMap<(DifferenceKind, Option<ServerId>), u64>,
-    told: HashSet<u64>,
-    order: VecDeque<u64>,
+    /// Keys of the reported differences.
+    reported: HashSet<u64>,
+    /// The same keys, the oldest first.
+    report_order: VecDeque<u64>,
 }
 
 impl DifferenceTracker {
-    /// Counts the differences of a request; returns those that were not told of this state of the title before.
-    pub fn record(&mut self, v: &Version, told: &ComparedRequest) -> Vec<Difference> {
-        let mut new = find_differences(v, told);
-        // A title that was changed is another state; one that is unknown stays the same until it is known.
-        let state = v.title(told.title).map_or_else(|| hash_name(told.title), |t| hash_bytes(t.as_bytes()));
+    /// Counts the differences of a request. Returns those that were not reported before for this state of the title.
+    pub fn record(&mut self, version: &Version, request: &ComparedRequest) -> Vec<Difference> {
+        let mut new = find_differences(version, request);
+        // The state is the content of the title; an unknown title has one state, until it is added.
+        let state = version
+            .title(request.title)
+            .map_or_else(|| hash_name(request.title), |t| hash_bytes(t.as_bytes()));
         new.retain(|d| {
             *self.counts.entry((d.kind, d.server)).or_default() += 1;
-            let what = (d.kind as u64 + 1) << 33 | d.server.map_or(1 << 32, |s| u64::from(s.0));
-            self.is_new(state ^ what.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+            let discriminant = (d.kind as u64 + 1) << 33 | d.server.map_or(1 << 32, |s| u64::from(s.0));
+            self.remember(state ^ discriminant.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         });
         new
     }
 
-    fn is_new(&mut self, key: u64) -> bool {
-        if !self.told.insert(key) {
+    /// Remembers the key of a reported difference; `false` if it is remembered already.
+    fn remember(&mut self, key: u64) -> bool {
+        if !self.reported.insert(key) {
             return false;
         }
-        self.order.push_back(key);
-        if self.order.len() > MAX_REMEMBERED {
-            if let Some(oldest) = self.order.pop_front() {
-                self.told.remove(&oldest);
+        self.report_order.push_back(key);
+        if self.report_order.len() > MAX_REMEMBERED {
+            if let Some(oldest) = self.report_order.pop_front() {
+                self.reported.remove(&oldest);
             }
         }
         true
     }
 
-    /// Counts by sort and box since the front started.
+    /// Counts by kind and box since the tracker was created.
     pub fn counts(&self) -> impl Iterator<Item = (DifferenceKind, Option<ServerId>, u64)> + '_ {
         self.counts.iter().map(|((kind, server), n)| (*kind, *server, *n))
     }
@@ -142,60 +157,68 @@
     use crate::version::{BoxState, VersionBuilder};
 
     fn version() -> Version {
-        let mut b = VersionBuilder::new(1, vec!["council".into(), "board".into()], None).unwrap();
-        b.add_box(BoxState { server: ServerId(2), gone: true, rack: None });
+        let mut builder = VersionBuilder::new(1, vec!["council".into(), "board".into()], None).unwrap();
+        builder.add_box(BoxState { server: ServerId(2), gone: true, rack: None });
         let holders = vec![ServerId(1), ServerId(2)];
-        let t = Title { name: "a".into(), rates: vec![1.0, 2.0], group_mask: 1, duration_ms: 1, holders };
-        b.add_title(PackedTitle::new(&t).unwrap()).unwrap();
-        b.finish()
+        let title = Title { name: "a".into(), rates: vec![1.0, 2.0], group_mask: 1, duration_ms: 1, holders };
+        builder.add_title(PackedTitle::new(&title).unwrap()).unwrap();
+        builder.finish()
     }
 
-    fn sorts(found: Vec<Difference>) -> Vec<(DifferenceKind, Option<u32>)> {
+    fn kinds(found: Vec<Difference>) -> Vec<(DifferenceKind, Option<u32>)> {
         found.into_iter().map(|d| (d.kind, d.server.map(|s| s.0))).collect()
     }
 
     #[test]
-    fn each_sort_is_found() {
-        let v = version();
-        let (right, other) = ([ServerId(2), ServerId(1)], [ServerId(3), ServerId(2)]);
-        let told = ComparedRequest { title: "a", group: "council", holders: &right, rungs: 2 };
-        assert_eq!(sorts(find_differences(&v, &told)), [(DifferenceKind::GoneHolder, Some(2))]);
-        let told = ComparedRequest { title: "a", group: "board", holders: &other, rungs: 4 };
-        let wanted = [
+    fn each_kind_of_difference_is_found() {
+        let version = version();
+        let (matching, other) = ([ServerId(2), ServerId(1)], [ServerId(3), ServerId(2)]);
+        let request = ComparedRequest { title: "a", group: "council", holders: &matching, rungs: 2 };
+        assert_eq!(kinds(find_differences(&version, &request)), [(DifferenceKind::GoneHolder, Some(2))]);
+        let request = ComparedRequest { title: "a", group: "board", holders: &other, rungs: 4 };
+        let expected = [
             (DifferenceKind::UnknownHolder, Some(3)),
             (DifferenceKind::GoneHolder, Some(2)),
             (DifferenceKind::MissingHolder, Some(1)),
             (DifferenceKind::OtherGroup, None),
             (DifferenceKind::Renditions, None),
         ];
-        assert_eq!(sorts(find_differences(&v, &told)), wanted);
+        assert_eq!(kinds(find_differences(&version, &request)), expected);
         assert_eq!(
-            sorts(find_differences(&v, &ComparedRequest { title: "b", ..told })),
+            kinds(find_differences(&version, &ComparedRequest { title: "b", ..request })),
             [(DifferenceKind::UnknownTitle, None)]
         );
     }
 
     #[test]
-    fn told_once_for_each_state_and_counted_always() {
-        let (mut d, v) = (DifferenceTracker::default(), version());
-        let told = ComparedRequest { title: "a", group: "council", holders: &[ServerId(3)], rungs: 2 };
-        assert_eq!(d.record(&v, &told).len(), 3);
-        assert_eq!(d.record(&v, &told).len(), 0);
+    fn a_difference_is_reported_once_for_each_state_of_the_title_and_always_counted() {
+        let (mut tracker, version) = (DifferenceTracker::default(), version());
+        let request = ComparedRequest { title: "a", group: "council", holders: &[ServerId(3)], rungs: 2 };
+        assert_eq!(tracker.record(&version, &request).len(), 3);
+        assert_eq!(tracker.record(&version, &request).len(), 0);
         let change = Change::AddHolder { name: "a".into(), server: ServerId(9) };
-        let v = v.with_changes(&[NumberedChange { number: 2, change }]).unwrap();
-        assert_eq!(d.record(&v, &told).len(), 4);
-        let of = |s| d.counts().filter(|c| c.0 == s).map(|c| (c.1.map(|s| s.0), c.2)).collect::<Vec<_>>();
-        assert_eq!(of(DifferenceKind::UnknownHolder), [(Some(3), 3)]);
-        assert_eq!(of(DifferenceKind::MissingHolder), [(Some(1), 3), (Some(2), 3), (Some(9), 1)]);
+        let version = version.with_changes(&[NumberedChange { number: 2, change }]).unwrap();
+        assert_eq!(tracker.record(&version, &request).len(), 4);
+        let counts = |kind| {
+            tracker.counts().filter(|c| c.0 == kind).map(|c| (c.1.map(|s| s.0), c.2)).collect::<Vec<_>>()
+        };
+        assert_eq!(counts(DifferenceKind::UnknownHolder), [(Some(3), 3)]);
+        assert_eq!(counts(DifferenceKind::MissingHolder), [(Some(1), 3), (Some(2), 3), (Some(9), 1)]);
     }
 
     #[test]
-    fn a_flood_of_names_costs_no_memory() {
-        let (mut d, v) = (DifferenceTracker::default(), version());
+    fn a_flood_of_title_names_takes_bounded_memory() {
+        let (mut tracker, version) = (DifferenceTracker::default(), version());
         for n in 0..2 * MAX_REMEMBERED {
             let title = format!("flood-{n}");
-            d.record(&v, &ComparedRequest { title: &title, group: "council", holders: &[], rungs: 2 });
+            tracker.record(
+                &version,
+                &ComparedRequest { title: &title, group: "council", holders: &[], rungs: 2 },
+            );
         }
-        assert_eq!((d.told.len(), d.order.len(), d.counts.len()), (MAX_REMEMBERED, MAX_REMEMBERED, 1));
+        assert_eq!(
+            (tracker.reported.len(), tracker.report_order.len(), tracker.counts.len()),
+            (MAX_REMEMBERED, MAX_REMEMBERED, 1)
+        );
     }
 }
--- a/crates/catalogue/src/follower.rs
+++ b/crates/catalogue/src/follower.rs
@@ -1,112 +1,116 @@
-//! Where a follower stands in the stream of changes, and what it asks for next. Changes are gathered for a moment, so
-//! that a burst of them costs few versions.
+//! The state of a consumer of the change feed: which change is applied, and what to fetch next. Changes are collected for
+//! a short time into batches, so that a burst of them makes few versions.
 use crate::change::{ApplyError, NumberedChange};
 use walnutline::ids::Ms;
 
-/// Changes that make one version at most, and how long the first of them waits for more. A version of so many is made
-/// in less than a millisecond beside 2 000 000 titles.
+/// Most changes in a batch. Applying this many takes less than a millisecond in a catalogue of 2 000 000 titles.
 pub const MAX_BATCH_CHANGES: usize = 64;
+/// How long the first change of a batch waits for more.
 pub const BATCH_DELAY: Ms = 20.0;
-/// Gaps in a row at one place after which the stream is not trusted to fill them.
-const GAPS: u32 = 2;
+/// Consecutive gaps after which a snapshot is fetched, as resuming the feed did not fill them.
+const MAX_GAPS: u32 = 2;
 
-/// How long to rest after a piece of work beside requests. A thread that wakes to answer a viewer may find its processor
-/// taken, and waits there until the piece or the scheduler's turn ends: short pieces with rests between them bound that,
-/// where priorities alone did not (docs/design/catalogue.md). The same time again halves the chance of it, too.
+/// Returns how long a background thread should pause after a step of work that took `worked`. A thread that wakes to
+/// answer a viewer may find its processor busy with the step, and waits until the step or the time slice ends. Short
+/// steps with pauses between them bound that delay, where thread priorities alone did not (docs/design/catalogue.md). A
+/// pause as long as the step also halves the probability of the delay.
 pub fn pause_after(worked: Ms) -> Ms {
-    worked.min(LONGEST_REST)
+    worked.min(MAX_PAUSE)
 }
 
-/// Rests are bounded, so that a machine that stalls does not stretch a load without end.
-const LONGEST_REST: Ms = 20.0;
+/// Longest pause, so that a stall of the machine does not prolong a load indefinitely.
+const MAX_PAUSE: Ms = 20.0;
 
-/// What to ask the publisher for.
+/// What to fetch from the publisher next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextFetch {
-    /// A whole catalogue.
+    /// A snapshot of the whole catalogue.
     Snapshot,
     /// The changes after this number.
     ChangesAfter(u64),
 }
 
+/// The position of a consumer in the change feed, and the changes that wait to be applied.
 #[derive(Debug, Default)]
 pub struct FeedFollower {
-    /// The last change that is in force here.
-    have: Option<u64>,
-    gaps: u32,
-    /// Changes that wait to be applied, and when the first of them came.
-    waiting: Vec<NumberedChange>,
-    since: Ms,
+    /// The number of the last applied change.
+    applied: Option<u64>,
+    consecutive_gaps: u32,
+    /// Changes that wait to be applied.
+    pending: Vec<NumberedChange>,
+    /// When the first pending change was received.
+    pending_since: Ms,
 }
 
 impl FeedFollower {
-    /// From what was kept over a restart, or from nothing.
-    pub fn resume_from(have: Option<u64>) -> FeedFollower {
-        FeedFollower { have, ..FeedFollower::default() }
+    /// Creates a follower that resumes after a change, or starts with a snapshot if there is none.
+    pub fn resume_from(applied: Option<u64>) -> FeedFollower {
+        FeedFollower { applied, ..FeedFollower::default() }
     }
 
+    /// What to fetch from the publisher next.
     pub fn next_fetch(&self) -> NextFetch {
-        self.have.map_or(NextFetch::Snapshot, NextFetch::ChangesAfter)
+        self.applied.map_or(NextFetch::Snapshot, NextFetch::ChangesAfter)
     }
 
-    /// A change was heard. Those that are in force already or wait already are passed over.
-    pub fn receive(&mut self, n: NumberedChange, now: Ms) {
-        let last = self.waiting.last().map(|w| w.number).or(self.have);
-        if last.is_some_and(|last| n.number <= last) {
+    /// Takes a change from the feed. Changes that are applied or pending already are ignored.
+    pub fn receive(&mut self, change: NumberedChange, now: Ms) {
+        let last = self.pending.last().map(|c| c.number).or(self.applied);
+        if last.is_some_and(|last| change.number <= last) {
             return;
         }
-        if self.waiting.is_empty() {
-            self.since = now;
+        if self.pending.is_empty() {
+            self.pending_since = now;
         }
-        self.waiting.push(n);
+        self.pending.push(change);
     }
 
-    /// When waiting changes are to be applied; `None` while there are none.
+    /// When the pending changes should be applied; `None` if there are none.
     pub fn batch_due_at(&self) -> Option<Ms> {
-        match self.waiting.len() {
+        match self.pending.len() {
             0 => None,
             n if n >= MAX_BATCH_CHANGES => Some(Ms::NEG_INFINITY),
-            _ => Some(self.since + BATCH_DELAY),
+            _ => Some(self.pending_since + BATCH_DELAY),
         }
     }
 
-    /// The changes to apply now, all of them in one batch.
+    /// Takes all pending changes, to be applied as one batch.
     pub fn take_batch(&mut self) -> Vec<NumberedChange> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.pending)
     }
 
-    /// A batch, or a whole catalogue, is in force.
+    /// A batch or a snapshot was applied, up to this change.
     pub fn mark_applied(&mut self, number: u64) {
-        (self.have, self.gaps) = (Some(number), 0);
-        self.waiting.clear();
+        (self.applied, self.consecutive_gaps) = (Some(number), 0);
+        self.pending.clear();
     }
 
-    /// A batch was not applied: the stream is to be opened anew by [`FeedFollower::next_fetch`].
-    pub fn batch_rejected(&mut self, fault: &ApplyError) {
-        self.waiting.clear();
-        match fault {
-            ApplyError::Gap { .. } => self.missing(),
+    /// A batch was rejected: the feed should be reopened as [`FeedFollower::next_fetch`] says.
+    pub fn batch_rejected(&mut self, error: &ApplyError) {
+        self.pending.clear();
+        match error {
+            ApplyError::Gap { .. } => self.record_gap(),
             ApplyError::Conflict { .. } => self.history_expired(),
         }
     }
 
-    /// A change could not be read: what it said is missing.
+    /// A change could not be decoded, which leaves a gap.
     pub fn change_unreadable(&mut self) {
-        self.waiting.clear();
-        self.missing();
+        self.pending.clear();
+        self.record_gap();
     }
 
-    fn missing(&mut self) {
-        self.gaps += 1;
-        if self.gaps >= GAPS {
-            (self.have, self.gaps) = (None, 0);
+    fn record_gap(&mut self) {
+        self.consecutive_gaps += 1;
+        if self.consecutive_gaps >= MAX_GAPS {
+            (self.applied, self.consecutive_gaps) = (None, 0);
         }
     }
 
-    /// The publisher no longer has the changes after ours.
+    /// The publisher no longer has the changes that follow the last applied one.
     pub fn history_expired(&mut self) {
-        (self.have, self.gaps) = (None, 0);
-        self.waiting.clear();
+        (self.applied, self.consecutive_gaps) = (None, 0);
+        self.pending.clear();
     }
 }
 
@@ -122,71 +126,71 @@
         NumberedChange { number, change: Change::ServerGone(ServerId(number as u32)) }
     }
 
-    fn at(number: u64) -> Version {
-        let v = VersionBuilder::new(0, vec![], None).unwrap().finish();
-        v.with_changes(&(1..=number).map(change).collect::<Vec<_>>()).unwrap()
+    fn version_after(number: u64) -> Version {
+        let empty = VersionBuilder::new(0, vec![], None).unwrap().finish();
+        empty.with_changes(&(1..=number).map(change).collect::<Vec<_>>()).unwrap()
     }
 
     proptest! {
-        /// Whatever the stream loses, repeats or puts in another order: the version in force is always the one of its
-        /// number, and a sound stream from where the follower asks brings it up to the end.
+        /// With changes lost, repeated or reordered in the feed, the version always matches its number, and an intact feed
+        /// from the requested position brings it up to date.
         #[test]
-        fn never_a_mixture(heard in prop::collection::vec((1u64..12, 0u8..3), 0..60)) {
-            let (mut f, mut v) = (FeedFollower::resume_from(Some(0)), at(0));
-            let apply = |f: &mut FeedFollower, v: &mut Version| {
-                let batch = f.take_batch();
-                match v.with_changes(&batch) {
+        fn versions_stay_consistent_with_any_order_of_changes(received in prop::collection::vec((1u64..12, 0u8..3), 0..60)) {
+            let (mut follower, mut version) = (FeedFollower::resume_from(Some(0)), version_after(0));
+            let apply = |follower: &mut FeedFollower, version: &mut Version| {
+                let batch = follower.take_batch();
+                match version.with_changes(&batch) {
                     Ok(next) => {
-                        f.mark_applied(next.number());
-                        *v = next;
+                        follower.mark_applied(next.number());
+                        *version = next;
                     }
-                    Err(fault) => f.batch_rejected(&fault),
+                    Err(error) => follower.batch_rejected(&error),
                 }
             };
-            for (number, what) in heard {
-                f.receive(change(number), 0.0);
-                if what == 0 && f.batch_due_at().is_some() {
-                    apply(&mut f, &mut v);
+            for (number, action) in received {
+                follower.receive(change(number), 0.0);
+                if action == 0 && follower.batch_due_at().is_some() {
+                    apply(&mut follower, &mut version);
                 }
-                prop_assert!(v.boxes().map(|b| b.server.0 as u64).eq(1..=v.number()));
+                prop_assert!(version.boxes().map(|b| b.server.0 as u64).eq(1..=version.number()));
             }
-            f.take_batch();
-            let from = match f.next_fetch() {
+            follower.take_batch();
+            let from = match follower.next_fetch() {
                 NextFetch::Snapshot => {
-                    v = at(3);
-                    f.mark_applied(3);
+                    version = version_after(3);
+                    follower.mark_applied(3);
                     3
                 }
                 NextFetch::ChangesAfter(n) => n,
             };
-            prop_assert_eq!(from, v.number());
-            (from + 1..15).for_each(|n| f.receive(change(n), 0.0));
-            apply(&mut f, &mut v);
-            prop_assert_eq!(v.number(), 14);
+            prop_assert_eq!(from, version.number());
+            (from + 1..15).for_each(|n| follower.receive(change(n), 0.0));
+            apply(&mut follower, &mut version);
+            prop_assert_eq!(version.number(), 14);
         }
     }
 
     #[test]
-    fn a_gap_is_resumed_once_and_then_all_is_fetched() {
-        let mut f = FeedFollower::resume_from(Some(4));
+    fn a_repeated_gap_or_a_conflict_leads_to_a_snapshot() {
+        let mut follower = FeedFollower::resume_from(Some(4));
         let gap = ApplyError::Gap { have: 4, got: 9 };
-        f.batch_rejected(&gap);
-        assert_eq!(f.next_fetch(), NextFetch::ChangesAfter(4));
-        f.batch_rejected(&gap);
-        assert_eq!(f.next_fetch(), NextFetch::Snapshot);
-        f.mark_applied(9);
-        f.batch_rejected(&ApplyError::Conflict { number: 10, reason: String::new() });
-        assert_eq!(f.next_fetch(), NextFetch::Snapshot);
+        follower.batch_rejected(&gap);
+        assert_eq!(follower.next_fetch(), NextFetch::ChangesAfter(4));
+        follower.batch_rejected(&gap);
+        assert_eq!(follower.next_fetch(), NextFetch::Snapshot);
+        follower.mark_applied(9);
+        follower.batch_rejected(&ApplyError::Conflict { number: 10, reason: String::new() });
+        assert_eq!(follower.next_fetch(), NextFetch::Snapshot);
     }
 
     #[test]
-    fn a_burst_waits_a_moment_and_is_bounded() {
-        let mut f = FeedFollower::resume_from(Some(0));
-        assert_eq!(f.batch_due_at(), None);
-        f.receive(change(1), 100.0);
-        f.receive(change(2), 110.0);
-        assert_eq!(f.batch_due_at(), Some(100.0 + BATCH_DELAY));
-        (3..=MAX_BATCH_CHANGES as u64).for_each(|n| f.receive(change(n), 111.0));
-        assert_eq!(f.batch_due_at(), Some(Ms::NEG_INFINITY));
+    fn a_batch_is_due_after_the_delay_or_when_it_is_full() {
+        let mut follower = FeedFollower::resume_from(Some(0));
+        assert_eq!(follower.batch_due_at(), None);
+        follower.receive(change(1), 100.0);
+        follower.receive(change(2), 110.0);
+        assert_eq!(follower.batch_due_at(), Some(100.0 + BATCH_DELAY));
+        (3..=MAX_BATCH_CHANGES as u64).for_each(|n| follower.receive(change(n), 111.0));
+        assert_eq!(follower.batch_due_at(), Some(Ms::NEG_INFINITY));
     }
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,18 +1,19 @@
-//! Titles, their renditions and the boxes that hold them, known ahead of the requests. No input or output.
+//! In-memory catalogue of video titles: their true rates and the boxes that hold them. This crate does no I/O.
 //!
-//! A [`version::Version`] is one state of the catalogue. It never changes: a batch of numbered changes gives a new one
-//! that shares with the old all that is the same, and readers keep the one they began with. What it says is never
-//! leave to send a session anywhere: a request's own list of holders decides that.
+//! A [`version::Version`] is an immutable state of the catalogue. Applying a batch of numbered changes gives a new
+//! version that shares unchanged data with the old one, and each reader keeps the version that it started with. The
+//! catalogue never authorizes a placement: a session may only be sent to a holder that its own request lists.
 //!
-//! - [`change`]: what may change, and why a batch is refused. [`change_json`]: changes as they are sent and kept.
-//! - [`version`]: both directions of the index, and how changes are applied. It stands on [`packed_title`] (a title in one
-//!   run of bytes), [`cow_array`] (arrays in pages that versions share), [`name_index`] (titles by name) and [`prefix_trie`] (titles
-//!   by the beginning of their names).
-//! - [`current`]: the version in force, and who frees the replaced ones.
-//! - [`snapshot`]: a whole version as bytes. [`retention`]: what stays on storage. [`follower`]: where a follower stands in
-//!   the stream of changes.
-//! - [`demand`]: what is asked for, in fixed memory. [`probe_planner`]: the boxes whose news is worth having.
-//! - [`differences`]: where a request's list and the catalogue disagree. [`advisor`]: all of this for one request.
+//! - [`change`]: the changes a catalogue takes, and why a batch is rejected. [`change_json`]: their JSON encoding.
+//! - [`version`]: the indexes by title and by box, and how changes are applied. It builds on [`packed_title`] (a title
+//!   encoded in one byte string), [`cow_array`] (copy-on-write arrays), [`name_index`] (titles by name) and
+//!   [`prefix_trie`] (titles by name prefix).
+//! - [`current`]: the current version, and the reclamation of replaced ones.
+//! - [`snapshot`]: the binary encoding of a whole version. [`retention`]: which snapshots and changes stay on storage.
+//! - [`follower`]: the state of a consumer of the change feed.
+//! - [`demand`]: a sketch of the demand for titles in fixed memory. [`probe_planner`]: which boxes to probe ahead of
+//!   requests.
+//! - [`differences`]: disagreements between requests and the catalogue. [`advisor`]: all of this for one request.
 pub mod advisor;
 pub mod change;
 pub mod change_json;
--- a/crates/catalogue/src/prefix_trie.rs
+++ b/crates/catalogue/src/prefix_trie.rs
@@ -1,22 +1,22 @@
-//! Titles by the beginning of their names, in order: a burst trie (Heinz, Zobel and Williams, 2002) that versions
-//! share. Inner nodes branch by one byte; a bucket at the end of a way keeps the positions of up to [`FULL`] titles in
-//! the order of their names and bursts into an inner node beyond that. NameIndex are not kept here: who calls hands in the
-//! way from a position to its name.
+//! Titles by name prefix, in name order: a burst trie (Heinz, Zobel and Williams, 2002) whose nodes versions share. Inner
+//! nodes branch on one byte. A leaf is a bucket with the positions of up to [`BUCKET_CAPACITY`] titles in name order, and
+//! bursts into an inner node beyond that. Names are not stored here: the caller passes a function from a position to its name.
 //!
-//! Growth: 4 bytes a title and some for the buckets' spare room. A change copies the nodes on one way, of at most the
-//! name's length, and one bucket.
+//! Growth: 4 bytes for each title, and the spare capacity of the buckets. A change copies the nodes on one path, at most
+//! as many as the name has bytes, and one bucket.
 use std::sync::Arc;
 
 /// Positions in a bucket before it bursts.
-const FULL: usize = 256;
+const BUCKET_CAPACITY: usize = 256;
 
 #[derive(Debug, Clone)]
 enum Node {
     Bucket(Vec<u32>),
     Inner {
-        /// The title whose name ends here.
-        here: Option<u32>,
-        next: Vec<(u8, Arc<Node>)>,
+        /// The title whose name ends at this node.
+        terminal: Option<u32>,
+        /// Child nodes by the next byte, in ascending order.
+        children: Vec<(u8, Arc<Node>)>,
     },
 }
 
@@ -26,113 +26,116 @@
     }
 }
 
+/// A copy-on-write burst trie of positions, ordered by name.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixTrie {
     root: Arc<Node>,
 }
 
-/// The way from a position to its name.
+/// A function from a position to its name.
 pub trait NameLookup<'a>: Fn(u32) -> &'a str + Copy {}
 impl<'a, F: Fn(u32) -> &'a str + Copy> NameLookup<'a> for F {}
 
 impl PrefixTrie {
-    /// Adds a position that is not in it.
+    /// Adds a position that is not in the trie.
     pub fn insert<'a>(&mut self, position: u32, name_of: impl NameLookup<'a>) {
         let name = name_of(position).as_bytes();
         let mut node = Arc::make_mut(&mut self.root);
         for depth in 0.. {
-            if let Node::Bucket(b) = node {
-                if b.len() >= FULL {
-                    *node = burst(b, depth, name_of);
+            if let Node::Bucket(bucket) = node {
+                if bucket.len() >= BUCKET_CAPACITY {
+                    *node = burst(bucket, depth, name_of);
                 }
             }
             match node {
-                Node::Bucket(b) => {
-                    let at = b.partition_point(|p| name_of(*p).as_bytes() < name);
-                    b.insert(at, position);
+                Node::Bucket(bucket) => {
+                    let index = bucket.partition_point(|p| name_of(*p).as_bytes() < name);
+                    bucket.insert(index, position);
                     return;
                 }
-                Node::Inner { here, next } => {
+                Node::Inner { terminal, children } => {
                     let Some(byte) = name.get(depth) else {
-                        *here = Some(position);
+                        *terminal = Some(position);
                         return;
                     };
-                    let at = match next.binary_search_by_key(byte, |n| n.0) {
-                        Ok(at) => at,
-                        Err(at) => {
-                            next.insert(at, (*byte, Arc::default()));
-                            at
+                    let index = match children.binary_search_by_key(byte, |c| c.0) {
+                        Ok(index) => index,
+                        Err(index) => {
+                            children.insert(index, (*byte, Arc::default()));
+                            index
                         }
                     };
-                    node = Arc::make_mut(&mut next[at].1);
+                    node = Arc::make_mut(&mut children[index].1);
                 }
             }
         }
     }
 
-    /// Takes a position out, while its name can still be had.
+    /// Removes a position. Its name must still be available.
     pub fn remove<'a>(&mut self, position: u32, name_of: impl NameLookup<'a>) {
         let name = name_of(position).as_bytes();
         let mut node = Arc::make_mut(&mut self.root);
         for depth in 0.. {
             match node {
-                Node::Bucket(b) => return b.retain(|p| *p != position),
-                Node::Inner { here, next } => {
+                Node::Bucket(bucket) => return bucket.retain(|p| *p != position),
+                Node::Inner { terminal, children } => {
                     let Some(byte) = name.get(depth) else {
-                        *here = None;
+                        *terminal = None;
                         return;
                     };
-                    let Ok(at) = next.binary_search_by_key(byte, |n| n.0) else { return };
-                    node = Arc::make_mut(&mut next[at].1);
+                    let Ok(index) = children.binary_search_by_key(byte, |c| c.0) else { return };
+                    node = Arc::make_mut(&mut children[index].1);
                 }
             }
         }
     }
 
-    /// Positions of the first titles in the order of their names that begin so and, where given, come after `after`.
+    /// Positions of the first `limit` titles, in name order, whose names start with `prefix` and, if `after` is given, come
+    /// after it.
     pub fn find<'a>(
         &self,
         prefix: &str,
         after: Option<&str>,
-        most: usize,
+        limit: usize,
         name_of: impl NameLookup<'a>,
     ) -> Vec<u32> {
         let mut found = Vec::new();
         let (mut node, mut depth) = (&self.root, 0);
         for byte in prefix.bytes() {
-            let Node::Inner { next, .. } = &**node else { break };
-            let Ok(at) = next.binary_search_by_key(&byte, |n| n.0) else { return found };
-            (node, depth) = (&next[at].1, depth + 1);
+            let Node::Inner { children, .. } = &**node else { break };
+            let Ok(index) = children.binary_search_by_key(&byte, |c| c.0) else { return found };
+            (node, depth) = (&children[index].1, depth + 1);
         }
-        // NameIndex up to `after` are left out; where that begins otherwise than `prefix`, all are, or none.
+        // Names up to `after` are skipped. If it does not start with `prefix`, either all names or none are skipped.
         let after = match after {
             Some(a) if a.starts_with(prefix) => Some(a),
             Some(a) if a > prefix => return found,
             _ => None,
         };
-        // Nodes still to be looked through, the next one last, each with its depth and whether the way to it is the
-        // beginning of `after`. NameIndex may be long, so no call calls itself.
-        let mut ahead = vec![(node, depth, after.is_some())];
-        while let Some((node, depth, on_way)) = ahead.pop() {
-            if found.len() >= most {
+        // A stack of nodes to visit, the next one last, each with its depth and whether its path is a prefix of `after`.
+        // It takes the place of recursion, which could go as deep as names are long.
+        let mut stack = vec![(node, depth, after.is_some())];
+        while let Some((node, depth, on_after_path)) = stack.pop() {
+            if found.len() >= limit {
                 break;
             }
-            let after = after.filter(|_| on_way);
+            let after = after.filter(|_| on_after_path);
             match &**node {
-                Node::Bucket(b) => {
-                    let from = match after {
-                        Some(a) => b.partition_point(|p| name_of(*p) <= a),
-                        None => b.partition_point(|p| name_of(*p) < prefix),
+                Node::Bucket(bucket) => {
+                    let start = match after {
+                        Some(a) => bucket.partition_point(|p| name_of(*p) <= a),
+                        None => bucket.partition_point(|p| name_of(*p) < prefix),
                     };
-                    let same = b[from..].iter().copied().take_while(|p| name_of(*p).starts_with(prefix));
-                    found.extend(same.take(most - found.len()));
+                    let matching =
+                        bucket[start..].iter().copied().take_while(|p| name_of(*p).starts_with(prefix));
+                    found.extend(matching.take(limit - found.len()));
                 }
-                Node::Inner { here, next } => {
-                    // A name that ends on the way to `after` comes before it.
-                    found.extend(here.filter(|_| after.is_none()));
+                Node::Inner { terminal, children } => {
+                    // A name that ends on the path to `after` comes before it.
+                    found.extend(terminal.filter(|_| after.is_none()));
                     let byte = after.and_then(|a| a.as_bytes().get(depth).copied());
-                    let later = next.iter().filter(|n| byte.is_none_or(|b| n.0 >= b));
-                    ahead.extend(later.rev().map(|n| (&n.1, depth + 1, byte == Some(n.0))));
+                    let later = children.iter().filter(|c| byte.is_none_or(|b| c.0 >= b));
+                    stack.extend(later.rev().map(|c| (&c.1, depth + 1, byte == Some(c.0))));
                 }
             }
         }
@@ -140,21 +143,22 @@
     }
 }
 
+/// Distributes a full bucket at this depth over the children of a new inner node.
 fn burst<'a>(bucket: &[u32], depth: usize, name_of: impl NameLookup<'a>) -> Node {
-    let (mut here, mut next) = (None, Vec::<(u8, Arc<Node>)>::new());
+    let (mut terminal, mut children) = (None, Vec::<(u8, Arc<Node>)>::new());
     let mut rest = bucket;
     while let Some(first) = rest.first() {
-        let byte = |p: u32| name_of(p).as_bytes().get(depth).copied();
-        let Some(b) = byte(*first) else {
-            here = Some(*first);
+        let byte_of = |p: u32| name_of(p).as_bytes().get(depth).copied();
+        let Some(byte) = byte_of(*first) else {
+            terminal = Some(*first);
             rest = &rest[1..];
             continue;
         };
-        let same = rest.partition_point(|p| byte(*p) == Some(b));
-        next.push((b, Arc::new(Node::Bucket(rest[..same].to_vec()))));
-        rest = &rest[same..];
+        let end = rest.partition_point(|p| byte_of(*p) == Some(byte));
+        children.push((byte, Arc::new(Node::Bucket(rest[..end].to_vec()))));
+        rest = &rest[end..];
     }
-    Node::Inner { here, next }
+    Node::Inner { terminal, children }
 }
 
 #[cfg(test)]
@@ -164,45 +168,45 @@
     use std::collections::BTreeMap;
 
     proptest! {
-        /// Beside an ordered map: names of few letters, so that many share beginnings and buckets burst.
+        /// Checked against an ordered map, with names of few letters, so that many share prefixes and buckets burst.
         #[test]
-        fn like_an_ordered_map(
+        fn behaves_like_an_ordered_map_and_clones_stay_unchanged(
             steps in prop::collection::vec(("[ab]{1,12}", 0u8..5), 1..1_200),
-            asked in prop::collection::vec(("[ab]{0,5}", prop::option::of("[ab]{1,6}"), 0usize..400), 8),
+            queries in prop::collection::vec(("[ab]{0,5}", prop::option::of("[ab]{1,6}"), 0usize..400), 8),
         ) {
-            let (mut trie, mut plain, mut names) = (PrefixTrie::default(), BTreeMap::new(), Vec::<String>::new());
-            let mut kept = None;
-            for (n, (name, what)) in steps.iter().enumerate() {
-                if *what == 0 {
-                    if let Some(position) = plain.remove(name) {
+            let (mut trie, mut model, mut names) = (PrefixTrie::default(), BTreeMap::new(), Vec::<String>::new());
+            let mut cloned = None;
+            for (n, (name, action)) in steps.iter().enumerate() {
+                if *action == 0 {
+                    if let Some(position) = model.remove(name) {
                         trie.remove(position, |p| &names[p as usize]);
                     }
-                } else if !plain.contains_key(name) {
+                } else if !model.contains_key(name) {
                     names.push(name.clone());
                     let position = names.len() as u32 - 1;
                     trie.insert(position, |p| &names[p as usize]);
-                    plain.insert(name.clone(), position);
+                    model.insert(name.clone(), position);
                 }
                 if n == 600 {
-                    kept = Some((trie.clone(), plain.clone()));
+                    cloned = Some((trie.clone(), model.clone()));
                 }
             }
-            for (trie, plain) in kept.into_iter().chain([(trie, plain)]) {
-                for (prefix, after, most) in &asked {
-                    let wanted: Vec<u32> = plain
+            for (trie, model) in cloned.into_iter().chain([(trie, model)]) {
+                for (prefix, after, limit) in &queries {
+                    let expected: Vec<u32> = model
                         .iter()
                         .filter(|(n, _)| n.starts_with(prefix.as_str()) && after.as_ref().is_none_or(|a| *n > a))
                         .map(|(_, p)| *p)
-                        .take(*most)
+                        .take(*limit)
                         .collect();
-                    prop_assert_eq!(trie.find(prefix, after.as_deref(), *most, |p| &names[p as usize]), wanted);
+                    prop_assert_eq!(trie.find(prefix, after.as_deref(), *limit, |p| &names[p as usize]), expected);
                 }
             }
         }
     }
 
     #[test]
-    fn long_names_that_begin_alike() {
+    fn names_with_a_long_common_prefix_are_found_in_order() {
         let names: Vec<String> = (0..600).map(|n| format!("{}{n:03}", "x".repeat(500))).collect();
         let mut trie = PrefixTrie::default();
         (0..600).for_each(|p| trie.insert(p, |p| &names[p as usize]));
--- a/crates/catalogue/src/probe_planner.rs
+++ b/crates/catalogue/src/probe_planner.rs
@@ -1,82 +1,90 @@
-//! The boxes whose news is worth having before the next request, within a stated price.
+//! Plans probes of boxes ahead of requests, within a budget.
 //!
-//! A box is worth as much as the requests that are likely to go there next: each title's demand, shared among its
-//! sound holders. So holders of what is in demand come first, and of titles equally in demand the thinly held ones.
-//! Each request that is taken earns the price of some part of a probe; without requests nothing is asked.
+//! The value of probing a box is the demand that is likely to reach it: the demand for each title is divided among its
+//! available holders. So holders of titles in demand come first, and among titles of equal demand those with few
+//! holders. Each accepted request adds a fraction of a probe to the budget. Without requests nothing is probed.
 use crate::demand::DemandSketch;
 use crate::version::Version;
 use std::collections::BTreeMap;
 use walnutline::ids::{Ms, ServerId};
 
-/// Titles in demand that are looked at.
-const TITLES: usize = 64;
-/// Time between two looks.
-const LOOK: Ms = 100.0;
+/// Titles of the highest demand that a plan considers.
+const CONSIDERED_TITLES: usize = 64;
+/// Time between two plans.
+const PLAN_INTERVAL: Ms = 100.0;
 
-/// What the operator states.
+/// Limits on probes, as configured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProbeBudget {
-    /// Probes for each request taken, on average.
+    /// Probes for each accepted request, on average.
     pub per_request: f64,
-    /// Probes saved up at most, for the time when a crowd begins.
+    /// Most probes that can be saved up, for the start of a surge of requests.
     pub max_saved: f64,
-    /// ProbePlanner older than this is worth renewing, in milliseconds.
+    /// Age from which the last report of a box is stale, in milliseconds.
     pub stale_after: Ms,
 }
 
+/// Chooses the boxes to probe.
 #[derive(Debug)]
 pub struct ProbePlanner {
-    price: ProbeBudget,
-    saved: f64,
-    looked: Ms,
-    asked: BTreeMap<ServerId, Ms>,
+    budget: ProbeBudget,
+    /// Probes that may be sent now.
+    saved_probes: f64,
+    last_plan: Ms,
+    /// When boxes were last probed.
+    probed: BTreeMap<ServerId, Ms>,
 }
 
 impl ProbePlanner {
-    pub fn new(price: ProbeBudget) -> ProbePlanner {
-        ProbePlanner { price, saved: 0.0, looked: Ms::NEG_INFINITY, asked: BTreeMap::new() }
+    /// Creates a planner that has no probes saved up.
+    pub fn new(budget: ProbeBudget) -> ProbePlanner {
+        ProbePlanner { budget, saved_probes: 0.0, last_plan: Ms::NEG_INFINITY, probed: BTreeMap::new() }
     }
 
-    /// A request was taken.
+    /// Adds to the budget for an accepted request.
     pub fn request_accepted(&mut self) {
-        self.saved = (self.saved + self.price.per_request).min(self.price.max_saved);
+        self.saved_probes = (self.saved_probes + self.budget.per_request).min(self.budget.max_saved);
     }
 
-    /// Whether enough is saved for a probe and the last look is long enough ago.
+    /// Whether the budget allows a probe and the last plan is old enough.
     pub fn may_probe(&self, now: Ms) -> bool {
-        self.saved >= 1.0 && now - self.looked >= LOOK
+        self.saved_probes >= 1.0 && now - self.last_plan >= PLAN_INTERVAL
     }
 
-    /// Boxes to ask now. `heard`: when news of a box was last heard; `None` for one that is not to be asked.
+    /// Returns the boxes to probe now, the most valuable first, and charges them to the budget. `last_report_at` gives the
+    /// time of the last report of a box; `None` for a box that must not be probed.
     pub fn probe_targets(
         &mut self,
         demand: &DemandSketch,
-        v: &Version,
-        heard: impl Fn(ServerId) -> Option<Ms>,
+        version: &Version,
+        last_report_at: impl Fn(ServerId) -> Option<Ms>,
         now: Ms,
     ) -> Vec<ServerId> {
         if !self.may_probe(now) {
             return Vec::new();
         }
-        self.looked = now;
-        self.asked.retain(|_, at| now - *at < self.price.stale_after);
-        let mut worth: BTreeMap<ServerId, f64> = BTreeMap::new();
-        for asked in demand.top(TITLES, now) {
-            for title in v.titles_with_name_hash(asked.key) {
-                let sound: Vec<ServerId> = v.available_holders(title).collect();
-                // What may be another title's demand does not count.
-                let each = (asked.weight - asked.max_overestimate) / sound.len().max(1) as f64;
-                sound.into_iter().for_each(|s| *worth.entry(s).or_default() += each);
+        self.last_plan = now;
+        self.probed.retain(|_, at| now - *at < self.budget.stale_after);
+        let mut values: BTreeMap<ServerId, f64> = BTreeMap::new();
+        for title_demand in demand.top(CONSIDERED_TITLES, now) {
+            for title in version.titles_with_name_hash(title_demand.key) {
+                let holders: Vec<ServerId> = version.available_holders(title).collect();
+                // The part of the weight that may belong to other titles is left out.
+                let share =
+                    (title_demand.weight - title_demand.max_overestimate) / holders.len().max(1) as f64;
+                holders.into_iter().for_each(|s| *values.entry(s).or_default() += share);
             }
         }
-        let old = |s: &ServerId| heard(*s).is_some_and(|at| now - at > self.price.stale_after);
-        let mut worth: Vec<(ServerId, f64)> =
-            worth.into_iter().filter(|(s, w)| *w > 0.0 && !self.asked.contains_key(s) && old(s)).collect();
-        worth.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        worth.truncate(self.saved as usize);
-        self.saved -= worth.len() as f64;
-        self.asked.extend(worth.iter().map(|(s, _)| (*s, now)));
-        worth.into_iter().map(|(s, _)| s).collect()
+        let stale = |s: &ServerId| last_report_at(*s).is_some_and(|at| now - at > self.budget.stale_after);
+        let mut targets: Vec<(ServerId, f64)> = values
+            .into_iter()
+            .filter(|(s, value)| *value > 0.0 && !self.probed.contains_key(s) && stale(s))
+            .collect();
+        targets.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        targets.truncate(self.saved_probes as usize);
+        self.saved_probes -= targets.len() as f64;
+        self.probed.extend(targets.iter().map(|(s, _)| (*s, now)));
+        targets.into_iter().map(|(s, _)| s).collect()
     }
 }
 
@@ -90,66 +98,76 @@
     use proptest::prelude::*;
 
     fn version(titles: &[(&str, &[u32])], gone: &[u32]) -> Version {
-        let mut b = VersionBuilder::new(1, vec![], None).unwrap();
-        gone.iter().for_each(|s| b.add_box(BoxState { server: ServerId(*s), gone: true, rack: None }));
+        let mut builder = VersionBuilder::new(1, vec![], None).unwrap();
+        gone.iter().for_each(|s| builder.add_box(BoxState { server: ServerId(*s), gone: true, rack: None }));
         for (name, holders) in titles {
             let holders = holders.iter().copied().map(ServerId).collect();
-            let t = Title { name: (*name).into(), rates: vec![1.0], group_mask: 0, duration_ms: 1, holders };
-            b.add_title(PackedTitle::new(&t).unwrap()).unwrap();
+            let title =
+                Title { name: (*name).into(), rates: vec![1.0], group_mask: 0, duration_ms: 1, holders };
+            builder.add_title(PackedTitle::new(&title).unwrap()).unwrap();
         }
-        b.finish()
+        builder.finish()
     }
 
-    fn ids(of: &[ServerId]) -> Vec<u32> {
-        of.iter().map(|s| s.0).collect()
+    fn ids(servers: &[ServerId]) -> Vec<u32> {
+        servers.iter().map(|s| s.0).collect()
     }
 
     #[test]
-    fn thinly_held_first_and_what_is_in_demand() {
-        let v = version(&[("thin", &[1, 2]), ("wide", &[3, 4, 5, 6]), ("idle", &[7]), ("far", &[8])], &[2]);
+    fn stale_holders_of_titles_in_demand_are_probed_by_value() {
+        let version = version(
+            &[("two-holders", &[1, 2]), ("four-holders", &[3, 4, 5, 6]), ("idle", &[7]), ("far", &[8])],
+            &[2],
+        );
         let mut demand = DemandSketch::new(8, 10_000.0);
-        for name in ["thin", "wide", "thin", "wide", "unknown"] {
+        for name in ["two-holders", "four-holders", "two-holders", "four-holders", "unknown"] {
             demand.record(hash_name(name), 0.0);
         }
-        let mut news =
+        let mut planner =
             ProbePlanner::new(ProbeBudget { per_request: 1.0, max_saved: 3.0, stale_after: 2_000.0 });
-        (0..9).for_each(|_| news.request_accepted());
-        // Box 4 has just been heard of, 5 is not to be asked, 2 is gone; 7 and 8 hold what nobody asks for.
-        let heard = |s: ServerId| match s.0 {
+        (0..9).for_each(|_| planner.request_accepted());
+        // Box 4 has just reported, 5 must not be probed, and 2 is gone; 7 and 8 hold titles without demand.
+        let last_report_at = |s: ServerId| match s.0 {
             4 => Some(900.0),
             5 => None,
             _ => Some(-5_000.0),
         };
-        assert_eq!(ids(&news.probe_targets(&demand, &v, heard, 1_000.0)), [1, 3, 6]);
-        (0..9).for_each(|_| news.request_accepted());
-        assert!(news.probe_targets(&demand, &v, heard, 1_050.0).is_empty(), "asked twice within a moment");
-        assert!(ids(&news.probe_targets(&demand, &v, heard, 1_500.0)).is_empty(), "asked already");
-        assert_eq!(ids(&news.probe_targets(&demand, &v, heard, 3_200.0)), [1, 3, 4]);
+        assert_eq!(ids(&planner.probe_targets(&demand, &version, last_report_at, 1_000.0)), [1, 3, 6]);
+        (0..9).for_each(|_| planner.request_accepted());
+        assert!(
+            planner.probe_targets(&demand, &version, last_report_at, 1_050.0).is_empty(),
+            "planned twice within the interval"
+        );
+        assert!(
+            ids(&planner.probe_targets(&demand, &version, last_report_at, 1_500.0)).is_empty(),
+            "probed recently"
+        );
+        assert_eq!(ids(&planner.probe_targets(&demand, &version, last_report_at, 3_200.0)), [1, 3, 4]);
     }
 
     proptest! {
-        /// However requests come, probes stay within the price: what was earned, and no more saved than stated.
+        /// Probes never exceed what requests added to the budget, nor, at one time, the configured maximum of saved probes.
         #[test]
-        fn within_the_price(
-            each in 0.0f64..1.5,
-            most in 1.0f64..5.0,
+        fn probes_stay_within_the_budget(
+            per_request in 0.0f64..1.5,
+            max_saved in 1.0f64..5.0,
             steps in prop::collection::vec((0u32..6, 0.0f64..500.0), 1..200),
         ) {
-            let v = version(&[("a", &[1, 2, 3]), ("b", &[3, 4]), ("c", &[5])], &[]);
+            let version = version(&[("a", &[1, 2, 3]), ("b", &[3, 4]), ("c", &[5])], &[]);
             let mut demand = DemandSketch::new(8, 1_000.0);
-            let mut news = ProbePlanner::new(ProbeBudget { per_request: each, max_saved: most, stale_after: 50.0 });
-            let (mut now, mut taken, mut sent) = (0.0, 0u32, 0usize);
+            let mut planner = ProbePlanner::new(ProbeBudget { per_request, max_saved, stale_after: 50.0 });
+            let (mut now, mut accepted, mut sent) = (0.0, 0u32, 0usize);
             for (requests, gap) in steps {
                 now += gap;
                 for n in 0..requests {
                     demand.record(hash_name(["a", "b", "c"][n as usize % 3]), now);
-                    news.request_accepted();
-                    taken += 1;
+                    planner.request_accepted();
+                    accepted += 1;
                 }
-                let asked = news.probe_targets(&demand, &v, |_| Some(Ms::NEG_INFINITY), now);
-                prop_assert!(asked.len() as f64 <= most);
-                sent += asked.len();
-                prop_assert!(sent as f64 <= f64::from(taken) * each + 1e-6);
+                let targets = planner.probe_targets(&demand, &version, |_| Some(Ms::NEG_INFINITY), now);
+                prop_assert!(targets.len() as f64 <= max_saved);
+                sent += targets.len();
+                prop_assert!(sent as f64 <= f64::from(accepted) * per_request + 1e-6);
             }
         }
     }
--- a/crates/catalogue/src/retention.rs
+++ b/crates/catalogue/src/retention.rs
@@ -1,34 +1,35 @@
-//! What of a catalogue is kept on storage: when a snapshot is due, which snapshots stay, which changes may go.
+//! Retention of stored catalogue data: when a snapshot is due, which snapshots are kept, and which changes may be removed.
 
-/// Snapshots that stay: the newest, and one more in case it cannot be read one day.
-const SNAPSHOTS: usize = 2;
-/// Changes after which a new snapshot is due, and the share of the titles from which it is due later: a snapshot
-/// costs as much as the catalogue is large.
-const LEAST: u64 = 50_000;
-const SHARE: f64 = 0.1;
+/// Snapshots that are kept: the newest, and one more in case the newest turns out to be unreadable.
+const KEPT_SNAPSHOTS: usize = 2;
+/// Fewest changes between two snapshots.
+const MIN_CHANGES: u64 = 50_000;
+/// Fewest changes between two snapshots as a share of the titles, since the cost of a snapshot grows with the catalogue.
+const MIN_CHANGES_PER_TITLE: f64 = 0.1;
 
-/// Whether a snapshot is due: `since` changes after the last one, in a catalogue of so many titles.
-pub fn snapshot_due(since: u64, titles: usize) -> bool {
-    since >= LEAST.max((titles as f64 * SHARE) as u64)
+/// Whether a snapshot is due, given the changes since the last one and the number of titles.
+pub fn snapshot_due(changes_since: u64, titles: usize) -> bool {
+    changes_since >= MIN_CHANGES.max((titles as f64 * MIN_CHANGES_PER_TITLE) as u64)
 }
 
+/// Stored data that may be removed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PrunePlan {
-    /// Snapshots to be removed.
+    /// Numbers of the snapshots to remove.
     pub snapshots: Vec<u64>,
-    /// Changes up to this one are to be removed: every kept snapshot is after them.
+    /// Changes up to this number are to be removed, since every kept snapshot contains them.
     pub changes_up_to: u64,
 }
 
-/// What may go, by the numbers of the snapshots that are whole.
+/// Plans what to remove, given the numbers of the complete snapshots.
 pub fn plan_prune(snapshots: &[u64]) -> PrunePlan {
-    let mut all = snapshots.to_vec();
-    all.sort_unstable_by(|a, b| b.cmp(a));
-    all.dedup();
-    let gone = all.split_off(all.len().min(SNAPSHOTS));
-    // With one snapshot alone all changes stay: were it lost, they would be all that is left.
-    let changes = if all.len() < SNAPSHOTS { 0 } else { all.last().copied().unwrap_or(0) };
-    PrunePlan { snapshots: gone, changes_up_to: changes }
+    let mut kept = snapshots.to_vec();
+    kept.sort_unstable_by(|a, b| b.cmp(a));
+    kept.dedup();
+    let removed = kept.split_off(kept.len().min(KEPT_SNAPSHOTS));
+    // While there is only one snapshot, all changes are kept in case it is lost.
+    let changes_up_to = if kept.len() < KEPT_SNAPSHOTS { 0 } else { kept.last().copied().unwrap_or(0) };
+    PrunePlan { snapshots: removed, changes_up_to }
 }
 
 #[cfg(test)]
@@ -36,7 +37,7 @@
     use super::*;
 
     #[test]
-    fn two_snapshots_stay_and_all_that_follows_the_older() {
+    fn the_two_newest_snapshots_and_the_changes_after_the_older_are_kept() {
         assert_eq!(plan_prune(&[]), PrunePlan { snapshots: vec![], changes_up_to: 0 });
         assert_eq!(plan_prune(&[7]), PrunePlan { snapshots: vec![], changes_up_to: 0 });
         assert_eq!(plan_prune(&[7, 9]), PrunePlan { snapshots: vec![], changes_up_to: 7 });
@@ -44,7 +45,7 @@
     }
 
     #[test]
-    fn large_catalogues_are_written_less_often() {
+    fn large_catalogues_get_fewer_snapshots() {
         assert!(!snapshot_due(49_999, 10) && snapshot_due(50_000, 10));
         assert!(!snapshot_due(199_999, 2_000_000) && snapshot_due(200_000, 2_000_000));
     }
