--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,30 +1,31 @@
-//! Titles, their renditions and the boxes that hold them, known ahead of the requests. No input or output.
+//! In-memory catalogue of video titles: their true rates and the boxes that hold them. This crate does no I/O.
 //!
-//! A [`version::Version`] is one state of the catalogue. It never changes: a batch of numbered changes gives a new one
-//! that shares with the old all that is the same, and readers keep the one they began with. What it says is never
-//! leave to send a session anywhere: a request's own list of holders decides that.
+//! A [`version::Version`] is an immutable state of the catalogue. Applying a batch of numbered changes gives a new
+//! version that shares unchanged data with the old one, and each reader keeps the version that it started with. The
+//! catalogue never authorizes a placement: a session may only be sent to a holder that its own request lists.
 //!
-//! - [`change`]: what may change, and why a batch is refused. [`wire`]: changes as they are sent and kept.
-//! - [`version`]: both directions of the index, and how changes are applied. It stands on [`packed`] (a title in one
-//!   run of bytes), [`cow`] (arrays in pages that versions share), [`names`] (titles by name) and [`prefix`] (titles
-//!   by the beginning of their names).
-//! - [`current`]: the version in force, and who frees the replaced ones.
-//! - [`snapshot`]: a whole version as bytes. [`keep`]: what stays on storage. [`follow`]: where a follower stands in
-//!   the stream of changes.
-//! - [`demand`]: what is asked for, in fixed memory. [`news`]: the boxes whose news is worth having.
-//! - [`differ`]: where a request's list and the catalogue disagree. [`advice`]: all of this for one request.
-pub mod advice;
+//! - [`change`]: the changes a catalogue takes, and why a batch is rejected. [`change_json`]: their JSON encoding.
+//! - [`version`]: the indexes by title and by box, and how changes are applied. It builds on [`packed_title`] (a title
+//!   encoded in one byte string), [`cow_array`] (copy-on-write arrays), [`name_index`] (titles by name) and
+//!   [`prefix_trie`] (titles by name prefix).
+//! - [`current`]: the current version, and the reclamation of replaced ones.
+//! - [`snapshot`]: the binary encoding of a whole version. [`retention`]: which snapshots and changes stay on storage.
+//! - [`follower`]: the state of a consumer of the change feed.
+//! - [`demand`]: a sketch of the demand for titles in fixed memory. [`probe_planner`]: which boxes to probe ahead of
+//!   requests.
+//! - [`differences`]: disagreements between requests and the catalogue. [`advisor`]: all of this for one request.
+pub mod advisor;
 pub mod change;
-pub mod cow;
+pub mod change_json;
+pub mod cow_array;
 pub mod current;
 pub mod demand;
-pub mod differ;
-pub mod follow;
-pub mod keep;
-pub mod names;
-pub mod news;
-pub mod packed;
-pub mod prefix;
+pub mod differences;
+pub mod follower;
+pub mod name_index;
+pub mod packed_title;
+pub mod prefix_trie;
+pub mod probe_planner;
+pub mod retention;
 pub mod snapshot;
 pub mod version;
-pub mod wire;
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -8,7 +8,7 @@
     ColdStartSettings, KeyScope, ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, RetryBudget,
     ServiceGroup as TermsGroup, WeightKind,
 };
-use walnutline_catalogue::news::Price;
+use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
 use walnutline_desk::live::Waits;
 use walnutline_gate::authorization::AuthorizationPolicy;
@@ -159,10 +159,10 @@
             let (address, path) = source(s, "source", &mut f);
             address.map(|a| (a, path.trim_end_matches('/').to_owned()))
         }),
-        price: Price {
-            each: f.within(c.probes_each, "probes-each", 0.0, 10.0),
-            most: f.within(c.probes_saved, "probes-saved", 0.0, 1e5),
-            old: f.time(c.news_old, "news-old"),
+        price: ProbeBudget {
+            per_request: f.within(c.probes_each, "probes-each", 0.0, 10.0),
+            max_saved: f.within(c.probes_saved, "probes-saved", 0.0, 1e5),
+            stale_after: f.time(c.news_old, "news-old"),
         },
         rates: c.rates.unwrap_or(true),
     });
