--- a/crates/platform/src/rtsp.rs
+++ b/crates/platform/src/rtsp.rs
@@ -30,7 +30,7 @@
             FramingError::TooLong => "message too long",
             FramingError::BadContentLength => "bad Content-Length",
             FramingError::NotRtsp => "not RTSP",
-            FramingError::UnexpectedBytes => "unexpected bytes after the message",
+            FramingError::UnexpectedBytes => "length does not fit",
         })
     }
 }
