--- a/crates/control/src/event_stream.rs
+++ b/crates/control/src/event_stream.rs
@@ -74,7 +74,7 @@
         EventStreamError { offset: self.offset, reason }
     }
 
-    /// Parses a complete line; returns the event if the line is the empty one that ends it.
+    /// Parses a complete line. An empty line ends the current event, which is then returned.
     fn parse_line(&mut self, line: Vec<u8>) -> Result<Option<Event>, EventStreamError> {
         let line = String::from_utf8(line).map_err(|e| self.error(format!("not UTF-8: {e}")))?;
         if line.is_empty() {
--- a/crates/control/src/rtsp.rs
+++ b/crates/control/src/rtsp.rs
@@ -65,14 +65,14 @@
     GetParameter(Vec<String>),
     /// Sets parameters of a session, or reports those of the box if there is no session.
     SetParameter {
-        /// Session id of the box.
+        /// Session id assigned by the box.
         session: Option<String>,
         /// Names and values.
         parameters: Vec<(String, f64)>,
     },
     /// Ends a session.
     Teardown {
-        /// Session id of the box.
+        /// Session id assigned by the box.
         session: String,
     },
     /// Any other method, which is answered with status 501.
