--- a/src/api.rs
+++ b/src/api.rs
@@ -1,25 +1,23 @@
-//! What the calls of the decisions take and return: plain values.
+//! Plain values that the decision calls take and return.
 use crate::ids::{CellId, GroupIndex, Ms, ServerId, SessionId, TitleId};
 use std::sync::Arc;
 
-/// Where a session goes.
+/// What to do with a session now.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Placement {
-    Setup {
-        server: ServerId,
-        rung: u8,
-        timeout: Ms,
-    },
+    /// Send a SETUP to this server.
+    Setup { server: ServerId, rung: u8, timeout: Ms },
+    /// Hold the session and ask again when it is due.
     NotYet,
-    BusyReply {
-        retry_after: Option<Ms>,
-    },
+    /// Answer the viewer that all servers are busy.
+    BusyReply { retry_after: Option<Ms> },
+    /// Answer the viewer that the session is torn down: a SETUP may have run and must not be repeated.
     TornDown,
-    /// Nothing is owed: the session plays, or it is over.
+    /// Nothing to do: the session plays, or it is over.
     NoAction,
 }
 
-/// How a SETUP, or the session that came of it, ended.
+/// How a SETUP, or the session that resulted from it, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SetupOutcome {
     Done,
@@ -39,48 +37,52 @@
     }
 }
 
-/// Servers that one message between fronts has room for.
+/// Most server reports that fit into one message between fronts.
 pub const PEER_REPORTS_PER_MESSAGE: usize = 36;
 
-/// What one front tells the others of a server.
+/// The state of a server as one front reports it to the others.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerReport {
     pub server: ServerId,
-    /// Streams that it runs or sets up, as a share of the most that it runs.
+    /// Streams that run or are being set up, as a share of the server's maximum.
     pub stream_use: f64,
-    /// What is asked of its link over what it gives.
+    /// Demand on the server's link over its capacity.
     pub link_use: f64,
-    /// How long ago that was heard.
+    /// Time since the server reported this.
     pub age: Ms,
-    /// How long ago the process that answered is known to have been there.
+    /// For how long the server's current process is known to have existed.
     pub process_age: Ms,
 }
 
-/// What is due now, and when to ask again.
+/// Everything that is due now, and when to ask again.
 #[derive(Debug, Default, PartialEq)]
 pub struct DueActions {
+    /// Sessions whose rung changes, with the new rung.
     pub rung_changes: Vec<(SessionId, u8)>,
+    /// Servers to probe.
     pub probes: Vec<ServerId>,
-    /// The list of servers, or its changes from now on, is to be asked for.
+    /// Whether to request the server list, or a watch of its changes.
     pub request_list: bool,
+    /// Held sessions that are to be placed now.
     pub sessions_to_place: Vec<SessionId>,
-    /// To be told to all other fronts, in one message.
+    /// Reports to send to all other fronts in one message.
     pub peer_reports: Vec<PeerReport>,
     pub log_lines: Vec<String>,
+    /// When to ask again, at the latest.
     pub next_call_at: Ms,
 }
 
-/// The servers that hold a title, as a request tells them. Both forms enter the same choice.
+/// The servers that hold a title, as the request states them. Both forms lead to the same choice.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Holders {
-    /// Those in `span` cells in a row from `home`.
+    /// The servers in `count` consecutive cells from `first`, which wrap around.
     Cells { first: CellId, count: u32 },
-    /// Those named, ascending by id: see [`Holders::named`].
+    /// Servers by id, ascending and without duplicates: see [`Holders::named`].
     Named(Arc<[ServerId]>),
 }
 
 impl Holders {
-    /// Named holders in any order; one named twice counts once.
+    /// Holders by id, in any order; duplicates are dropped.
     pub fn named(mut ids: Vec<ServerId>) -> Holders {
         ids.sort_unstable();
         ids.dedup();
@@ -88,15 +90,16 @@
     }
 }
 
-/// A request as it comes in.
+/// A viewer's request for a session.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub group: GroupIndex,
     pub title: TitleId,
     pub holders: Holders,
-    /// The title's true rate at each rung, in kB a second, where it is known: else it is taken for the ladder's.
+    /// The title's real rate at each rung, where it is known; else the ladder's rates apply.
     pub rates_kb_per_s: Option<Arc<[f64]>>,
+    /// Highest rung that the viewer can use.
     pub highest_rung: u8,
-    /// How long the viewer waits.
+    /// Time until the viewer gives up.
     pub time_left: Ms,
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,9 @@
-//! What a front holds of the servers: one record each, and one for each rack's uplink.
+//! What a front knows of the servers: a record for each, and one for the uplink of each rack.
 use crate::ids::{CellId, KindIndex, Ms, RackId, ServerId, ZoneIndex};
 use std::collections::BTreeMap;
 use std::fmt;
 
+/// State of a server in the list. Only ready servers get new sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
     Ready,
@@ -10,7 +11,7 @@
     Gone,
 }
 
-/// What sessions share: the link of a server, or the uplink of a rack.
+/// A link that sessions share: that of a server, or the uplink of a rack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SharedLink {
     Link(ServerId),
@@ -27,7 +28,7 @@
     }
 }
 
-/// One line of the list, as it was told.
+/// One entry of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListEntry {
     pub id: ServerId,
@@ -36,54 +37,58 @@
     pub cell: CellId,
     pub state: ServerState,
     pub weight: f64,
-    /// Start of the process, where it was not long ago.
+    /// When the server's process started, if that is recent.
     pub started_at: Option<Ms>,
 }
 
-/// A figure that was heard, with the front's own part of it at that moment.
+/// A reported value, with the front's own load at the time of the report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Measurement {
     pub value: f64,
     pub measured_at: Ms,
+    /// In streams for a number of streams, in kB a second for the use of a link.
     pub own_load: f64,
 }
 
+/// What a front knows of one server.
 #[derive(Debug, Clone)]
 pub struct Server {
     pub entry: ListEntry,
-    /// The largest weight that was listed of it.
+    /// The largest weight listed so far.
     pub largest_weight: f64,
-    /// What is asked of the link over what it gives.
+    /// Demand on the link over its capacity.
     pub link_use: Option<Measurement>,
-    /// Streams that it runs or sets up.
+    /// Streams that run or are being set up.
     pub streams: Option<Measurement>,
-    /// Failures in a row, and until when it is set aside for them.
+    /// Consecutive failures.
     pub failures: u32,
+    /// Until when the server is set aside because of its failures.
     pub excluded_until: Ms,
-    /// When it last answered this front with a report.
+    /// When it last sent this front a report.
     pub last_report_at: Ms,
-    /// Its last failure.
     pub last_failure_at: Ms,
-    /// Until when a busy reply of it counts.
+    /// Until when its last busy reply makes it count as full.
     pub busy_until: Ms,
-    /// When its death was witnessed, and when it answered after that.
+    /// When its process seemed to die.
     pub died_at: Option<Ms>,
+    /// When it answered again after `died_at`.
     pub recovered_at: Option<Ms>,
-    /// SETUPs sent while it was cold.
+    /// When the last SETUPs were sent, as far back as the limit for cold servers counts them.
     pub recent_setups: Vec<Ms>,
-    /// When the next probe is due, once that is settled.
+    /// When the next regular probe is due; `None` until the first one is scheduled.
     pub next_probe_at: Option<Ms>,
-    /// This front's part of the room that was heard of, as far as it is not yet used.
+    /// This front's share of the spare link capacity, as far as it is unused.
     pub spare_kb_per_s: f64,
-    /// Sessions there were stepped down; what is heard before this tells of the time before.
+    /// Sessions on the link were stepped down, and reports until then do not show it yet.
     pub ignore_reports_until: Ms,
 }
 
 impl Server {
-    pub fn new(listed: ListEntry) -> Self {
+    /// A server of which only the list entry is known.
+    pub fn new(entry: ListEntry) -> Self {
         Server {
-            largest_weight: listed.weight,
-            entry: listed,
+            largest_weight: entry.weight,
+            entry,
             link_use: None,
             streams: None,
             failures: 0,
@@ -101,13 +106,16 @@
     }
 }
 
+/// What a front knows of a rack's uplink.
 #[derive(Debug, Clone, Default)]
 pub struct Rack {
-    /// What is asked of the uplink over what it gives.
+    /// Demand on the uplink over its capacity.
     pub uplink_use: Option<Measurement>,
+    /// Sessions on the uplink were stepped down, and reports until then do not show it yet.
     pub ignore_reports_until: Ms,
 }
 
+/// All servers and racks that a front knows.
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub servers: BTreeMap<ServerId, Server>,
@@ -115,14 +123,15 @@
 }
 
 impl Fleet {
-    /// What was last heard of a line, and until when news of it is left out; `None` for an unknown server.
-    pub fn link_state_mut(&mut self, line: SharedLink) -> Option<(&mut Option<Measurement>, &mut Ms)> {
-        match line {
+    /// The last measurement of a shared link, and until when reports of it are ignored; `None` for an unknown
+    /// server.
+    pub fn link_state_mut(&mut self, link: SharedLink) -> Option<(&mut Option<Measurement>, &mut Ms)> {
+        match link {
             SharedLink::Link(id) => {
                 self.servers.get_mut(&id).map(|s| (&mut s.link_use, &mut s.ignore_reports_until))
             }
-            SharedLink::Uplink(no) => {
-                let rack = self.racks.entry(no).or_default();
+            SharedLink::Uplink(id) => {
+                let rack = self.racks.entry(id).or_default();
                 Some((&mut rack.uplink_use, &mut rack.ignore_reports_until))
             }
         }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,31 +1,31 @@
-//! Each kind of id is a type of its own; none of them carries meaning beyond equality and order.
+//! Identifiers, each kind with a type of its own. Their values carry no meaning beyond equality and order.
 
 macro_rules! id {
-    ($($(#[$doc:meta])* $name:ident($of:ty)),* $(,)?) => {$(
+    ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub struct $name(pub $of);
+        pub struct $name(pub $inner);
     )*};
 }
 
 id! {
     /// One request for a session, and the session that it becomes.
     SessionId(u64),
-    /// A media server, the same at every front.
+    /// A media server; all fronts use the same ids.
     ServerId(u32),
-    /// What is watched.
+    /// The title that a session plays.
     TitleId(u64),
-    /// Position of a service group in the terms.
+    /// Position of a service group in the settings.
     GroupIndex(u16),
-    /// Position of a zone in the terms.
+    /// Position of a zone in the settings.
     ZoneIndex(u16),
-    /// Position of a kind of machine in the terms.
+    /// Position of a machine kind in the settings.
     KindIndex(u8),
-    /// A cell: tells the titles held and the rack.
+    /// A cell of servers. It determines the titles that they hold and their rack.
     CellId(u32),
     /// A rack, whose servers share one uplink.
     RackId(u32),
 }
 
-/// Milliseconds with fractions, on the clock that the front is handed.
+/// Milliseconds, with fractions, on the clock of the caller.
 pub type Ms = f64;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of a session front: which media server plays a session, at which rung, and what to do
-//! when that does not work out. [`choice`] decides; the other modules hold plain types and state.
+//! Decisions of a session front: which media server plays a session, at which rung, and how to go on after a
+//! failure. [`choice`] decides; the other modules hold plain types and state.
 pub mod api;
 pub mod choice;
 pub mod fleet;
--- a/src/sessions.rs
+++ b/src/sessions.rs
@@ -1,15 +1,17 @@
-//! The sessions that a front has in hand: requests not yet answered, SETUPs out, sessions playing.
+//! The sessions of one front: requests not yet answered, pending SETUPs and playing sessions.
 use crate::api::Holders;
 use crate::ids::{GroupIndex, Ms, ServerId, SessionId, TitleId};
 use crate::settings::PolicySettings;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// A request and the session that it becomes.
 #[derive(Debug, Clone)]
 pub struct Session {
     pub group: GroupIndex,
     pub title: TitleId,
     pub holders: Holders,
+    /// The title's real rate at each rung, where it is known.
     pub rates_kb_per_s: Option<Arc<[f64]>>,
     /// Highest rung that the viewer can use.
     pub highest_rung: u8,
@@ -17,75 +19,85 @@
     /// When the viewer gives up.
     pub viewer_deadline: Ms,
     pub rung: u8,
-    /// Where its SETUP is out or it plays.
+    /// The server with its pending SETUP, or the one that plays it.
     pub server: Option<ServerId>,
     pub playing: bool,
-    /// Its final answer is given; only the outcome of a SETUP is still to come.
+    /// The viewer has its final answer; at most the outcome of a SETUP is still missing.
     pub answered: bool,
+    /// SETUPs sent for this session.
     pub setup_count: u16,
-    /// Servers that did not take it.
+    /// Servers whose SETUP failed.
     pub tried_servers: Vec<ServerId>,
-    /// Those of them that erred: judged once another one takes it.
+    /// Those of `tried_servers` that answered with an error. They are judged once another server plays the
+    /// session.
     pub errored_servers: Vec<ServerId>,
-    /// Servers that were probed for it.
+    /// Servers that were probed for this session.
     pub probed_servers: Vec<ServerId>,
-    /// The one of them whose answer it is held for.
+    /// The server whose probe answer the session is held for.
     pub awaited_probe: Option<ServerId>,
+    /// When the last SETUP was sent.
     pub setup_sent_at: Ms,
-    /// Last change of rung while playing, or the start.
+    /// When the session started to play or last changed its rung while playing.
     pub rung_set_at: Ms,
-    /// Its rate before the last change of it, and when that was.
+    /// Rate before the last change of it.
     pub previous_kb_per_s: f64,
+    /// When the rate last changed.
     pub rate_changed_at: Ms,
-    /// The first SETUP that may have run: where, and when it was sent.
+    /// The first SETUP that may have run: its server, and when it was sent.
     pub first_uncertain_setup: Option<(ServerId, Ms)>,
-    /// When to ask again, while it is held.
+    /// When a held session is to be placed again.
     pub held_until: Option<Ms>,
 }
 
 impl Session {
-    /// What it asks of a link at a rung, in kB a second: by its title's true rates, else by the ladder.
-    pub fn rate(&self, terms: &PolicySettings, rung: u8) -> f64 {
+    /// Load on a link at a rung, in kB a second: the title's real rate where it is known, else the ladder's.
+    pub fn rate(&self, settings: &PolicySettings, rung: u8) -> f64 {
         match &self.rates_kb_per_s {
-            Some(rates) => rates[rung as usize] * terms.service_groups[self.group.0 as usize].rate_scale,
-            None => terms.ladder_rate(self.group, rung),
+            Some(rates) => rates[rung as usize] * settings.service_groups[self.group.0 as usize].rate_scale,
+            None => settings.ladder_rate(self.group, rung),
         }
     }
 }
 
-/// Streams and load, in kB a second, that a front's own sessions put on one server.
+/// Load that a front's own sessions put on one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
     pub streams: f64,
     pub kb_per_s: f64,
 }
 
+/// All sessions of a front by id.
 #[derive(Debug, Default)]
 pub struct SessionTable {
     pub sessions: BTreeMap<SessionId, Session>,
 }
 
 impl SessionTable {
-    /// What the sessions in hand ask of each server.
-    pub fn loads(&self, terms: &PolicySettings) -> BTreeMap<ServerId, Load> {
-        let mut sums: BTreeMap<ServerId, Load> = BTreeMap::new();
+    /// Load on each server from sessions that play there or have a SETUP pending there.
+    pub fn loads(&self, settings: &PolicySettings) -> BTreeMap<ServerId, Load> {
+        let mut loads: BTreeMap<ServerId, Load> = BTreeMap::new();
         for s in self.sessions.values() {
-            if let Some(at) = s.server {
-                let sum = sums.entry(at).or_default();
-                sum.streams += 1.0;
-                sum.kb_per_s += s.rate(terms, s.rung);
+            if let Some(server) = s.server {
+                let load = loads.entry(server).or_default();
+                load.streams += 1.0;
+                load.kb_per_s += s.rate(settings, s.rung);
             }
         }
-        sums
+        loads
     }
 
-    /// How much more these sessions ask now than they did at an earlier time.
-    pub fn growth_since(&self, terms: &PolicySettings, of: impl Fn(&Session) -> bool, then: Ms) -> f64 {
-        let late = self.sessions.values().filter(|s| s.rate_changed_at > then && of(s));
-        late.map(|s| s.rate(terms, s.rung) - s.previous_kb_per_s).sum()
+    /// Growth of the selected sessions' load since the given time, in kB a second.
+    pub fn growth_since(
+        &self,
+        settings: &PolicySettings,
+        selected: impl Fn(&Session) -> bool,
+        since: Ms,
+    ) -> f64 {
+        let changed = self.sessions.values().filter(|s| s.rate_changed_at > since && selected(s));
+        changed.map(|s| s.rate(settings, s.rung) - s.previous_kb_per_s).sum()
     }
 
-    /// Sessions of one title and service group, SETUPs still out included.
+    /// Number of sessions of one title and service group, including those with a pending SETUP.
     pub fn sessions_of_title(&self, title: TitleId, group: GroupIndex) -> u32 {
         let same = |s: &&Session| s.server.is_some() && s.title == title && s.group == group;
         self.sessions.values().filter(same).count() as u32
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of one front, and the plain recording of news that calls for no decision.
+//! The state of one front, and the recording of events that need no decision.
 use crate::api::Request;
 use crate::fleet::{Fleet, ListEntry, Server, ServerState};
 use crate::ids::{Ms, ServerId, SessionId};
@@ -6,49 +6,56 @@
 use crate::settings::PolicySettings;
 use std::collections::VecDeque;
 
-/// What the other fronts are taken to carry on a server on average, as of the last time it was reckoned.
+/// Estimate of what the other fronts carry on a server on average.
 #[derive(Debug, Default)]
 pub struct ForeignLoad {
     pub streams: f64,
-    /// Their load by what this front carries itself, in kB a second.
+    /// Their load if each carries as much as this front, for links without a measurement.
     pub kb_per_s: f64,
-    /// Their use of a link by what was heard.
+    /// Their mean use of a link by the measurements; `None` without any.
     pub link_use: Option<f64>,
-    /// What they have added lately, unseen as yet.
+    /// Load that they have added recently and that no measurement shows yet.
     pub surge_kb_per_s: f64,
 }
 
+/// The state of one front.
 pub struct FrontState {
     pub settings: PolicySettings,
     pub fleet: Fleet,
     pub rng: fastrand::Rng,
     pub started_at: Ms,
-    /// The time of the last call.
+    /// The time of the last decision call.
     pub last_call_at: Ms,
-    /// When requests were taken and further SETUPs sent, as far back as the budget looks.
+    /// When requests arrived, as far back as the retry budget counts them.
     pub request_times: VecDeque<Ms>,
+    /// When retries were sent, as far back as the retry budget counts them.
     pub retry_times: VecDeque<Ms>,
-    /// Changes of rung and log lines that are still to be handed out.
     pub foreign_load: ForeignLoad,
+    /// Changes of rung that were not handed out yet.
     pub rung_changes: Vec<(SessionId, u8)>,
-    /// Probes to send, and the one that the session in hand waits for.
+    /// Probes that were not handed out yet.
     pub pending_probes: Vec<ServerId>,
+    /// The server whose probe answer the session being placed has to wait for.
     pub awaited_probe: Option<ServerId>,
-    /// What probes have cost beyond what the sessions so far pay for them.
+    /// Cost of the probes so far beyond what the sessions so far pay for.
     pub probe_debt: f64,
-    /// Requests taken since this front last told its news, and the servers asked for the next time, since when.
+    /// Requests since the last report to the other fronts; `None` until the first call.
     pub requests_since_peer_report: Option<f64>,
+    /// The servers probed for the next report to the other fronts, and when.
     pub pending_peer_report: Option<(Vec<ServerId>, Ms)>,
-    /// When the list is asked for next, once that is settled, and calls for it that failed in a row.
+    /// When the server list is requested next; `None` until the first call.
     pub next_list_call_at: Option<Ms>,
+    /// Consecutive failures of requests for the server list.
     pub list_failures: i32,
+    /// Log lines that were not handed out yet.
     pub log_lines: Vec<String>,
 }
 
 impl FrontState {
-    pub fn new(terms: PolicySettings, seed: u64, now: Ms) -> Self {
+    /// A front that starts now and knows no servers yet.
+    pub fn new(settings: PolicySettings, seed: u64, now: Ms) -> Self {
         FrontState {
-            settings: terms,
+            settings,
             fleet: Fleet::default(),
             rng: fastrand::Rng::with_seed(seed),
             started_at: now,
@@ -68,69 +75,70 @@
         }
     }
 
-    /// One line of the list. A new start makes it a new process: nothing known of the old one counts.
-    pub fn update_server(&mut self, line: ListEntry) {
-        match self.fleet.servers.get_mut(&line.id) {
-            Some(s) if s.entry.started_at == line.started_at => {
-                s.largest_weight = s.largest_weight.max(line.weight);
-                s.entry = line;
+    /// Records an entry of the server list. Another start time means a new process, for which nothing known of
+    /// the old one counts.
+    pub fn update_server(&mut self, entry: ListEntry) {
+        match self.fleet.servers.get_mut(&entry.id) {
+            Some(s) if s.entry.started_at == entry.started_at => {
+                s.largest_weight = s.largest_weight.max(entry.weight);
+                s.entry = entry;
             }
             Some(s) => {
-                let sent_cold = std::mem::take(&mut s.recent_setups);
-                *s = Server { recent_setups: sent_cold, ..Server::new(line) };
+                let recent_setups = std::mem::take(&mut s.recent_setups);
+                *s = Server { recent_setups, ..Server::new(entry) };
             }
             None => {
-                self.fleet.servers.insert(line.id, Server::new(line));
+                self.fleet.servers.insert(entry.id, Server::new(entry));
             }
         }
     }
 
-    /// The complete list: what it leaves out is gone.
-    pub fn replace_server_list(&mut self, lines: Vec<ListEntry>) {
+    /// Records the complete server list. Servers that are not in it are gone.
+    pub fn replace_server_list(&mut self, entries: Vec<ListEntry>) {
         for s in self.fleet.servers.values_mut() {
             s.entry.state = ServerState::Gone;
         }
-        for line in lines {
-            self.update_server(line);
+        for entry in entries {
+            self.update_server(entry);
         }
     }
 
-    /// A request was taken.
-    pub fn add_request(&mut self, hand: &mut SessionTable, id: SessionId, r: Request, now: Ms) {
+    /// Records a new request.
+    pub fn add_request(&mut self, table: &mut SessionTable, id: SessionId, request: Request, now: Ms) {
         if self.settings.retry_budget.is_some() {
             self.request_times.push_back(now);
         }
         self.requests_since_peer_report = self.requests_since_peer_report.map(|n| n + 1.0);
-        hand.sessions.insert(id, self.session(r, now));
+        table.sessions.insert(id, self.new_session(request, now));
     }
 
-    /// A session that was under way when the front started.
+    /// Records a session that already played when the front started.
     pub fn add_running_session(
         &mut self,
-        hand: &mut SessionTable,
+        table: &mut SessionTable,
         id: SessionId,
-        r: Request,
+        request: Request,
         server: ServerId,
         now: Ms,
     ) {
-        let s = self.session(r, now);
-        hand.sessions
-            .insert(id, Session { server: Some(server), playing: true, answered: true, setup_count: 1, ..s });
+        let s = self.new_session(request, now);
+        let s = Session { server: Some(server), playing: true, answered: true, setup_count: 1, ..s };
+        table.sessions.insert(id, s);
     }
 
-    fn session(&mut self, r: Request, now: Ms) -> Session {
-        let g = &self.settings.service_groups[r.group.0 as usize];
+    fn new_session(&mut self, request: Request, now: Ms) -> Session {
+        let group = &self.settings.service_groups[request.group.0 as usize];
         self.probe_debt -= 1.0;
         Session {
-            group: r.group,
-            title: r.title,
-            holders: r.holders,
-            // Rates that do not fit the ladder tell nothing of its rungs.
-            rates_kb_per_s: r.rates_kb_per_s.filter(|kb| kb.len() == self.settings.rung_kb_per_s.len()),
-            highest_rung: r.highest_rung.min(g.highest_rung).max(g.lowest_rung),
+            group: request.group,
+            title: request.title,
+            holders: request.holders,
+            // Rates that do not match the ladder are ignored: they cannot be assigned to its rungs.
+            rates_kb_per_s: request.rates_kb_per_s.filter(|kb| kb.len() == self.settings.rung_kb_per_s.len()),
+            highest_rung: request.highest_rung.min(group.highest_rung).max(group.lowest_rung),
             arrived_at: now,
-            viewer_deadline: now + r.time_left,
-            rung: g.lowest_rung,
+            viewer_deadline: now + request.time_left,
+            rung: group.lowest_rung,
             server: None,
             playing: false,
             answered: false,
@@ -148,19 +156,19 @@
         }
     }
 
-    /// The rung in force of a session.
-    pub fn set_rung(&mut self, hand: &mut SessionTable, id: SessionId, rung: u8) {
-        if let Some(s) = hand.sessions.get_mut(&id) {
+    /// Records the rung that a session really has.
+    pub fn set_rung(&mut self, table: &mut SessionTable, id: SessionId, rung: u8) {
+        if let Some(s) = table.sessions.get_mut(&id) {
             s.rung = rung.min(self.settings.rung_kb_per_s.len() as u8 - 1);
         }
     }
 
-    /// The viewer left before an answer.
-    pub fn viewer_left(&mut self, hand: &mut SessionTable, id: SessionId) {
-        if let Some(s) = hand.sessions.get_mut(&id) {
+    /// Records that the viewer left before it had an answer.
+    pub fn viewer_left(&mut self, table: &mut SessionTable, id: SessionId) {
+        if let Some(s) = table.sessions.get_mut(&id) {
             (s.answered, s.held_until) = (true, None);
             if s.server.is_none() {
-                hand.sessions.remove(&id);
+                table.sessions.remove(&id);
             }
         }
     }
