--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,9 +1,9 @@
-//! All decisions of the session front. It is asked through three calls: [`Front::place`] (where to send this
-//! session, or not yet, or never), [`Front::after`] (what to do after this outcome) and [`Front::wait`] (what
-//! is due now, and how long to wait before asking again). News is recorded by plain methods: here where it
-//! bears on a decision, else in `front`. The caller keeps the timers and the sessions in hand and decides
-//! nothing. The answers stand in `interface`, the state in `front`, `hand`, `fleet` and `terms`.
-//! docs/design.md tells what comes from the design page, what was added, and when each addition acts.
+//! All decisions of the session front. The caller asks three questions: [`FrontState::place`] (where does this
+//! session go), [`FrontState::after_outcome`] (what follows from this outcome) and [`FrontState::due_actions`]
+//! (what is due now, and when to ask again). Reports and other events are recorded by further methods: here
+//! where they bear on a decision, else in `state`. The caller keeps the timers and the session table and
+//! decides nothing itself. The types of the answers are in `api`; the state is in `state`, `sessions`, `fleet`
+//! and `settings`. docs/design.md describes the design, its extensions and when each of them acts.
 use crate::api::{DueActions, PeerReport, Placement, SetupOutcome, PEER_REPORTS_PER_MESSAGE};
 use crate::fleet::{ListEntry, Measurement, Server, ServerState, SharedLink};
 use crate::ids::{Ms, RackId, ServerId, SessionId};
@@ -12,426 +12,481 @@
 use crate::state::{ForeignLoad, FrontState};
 use std::collections::BTreeMap;
 
-/// Weights of streams and of link plus uplink in a holder's cost.
+/// Weight of the streams in a holder's cost.
 const ALPHA: f64 = 0.5;
+/// Weight of the use of link and uplink in a holder's cost.
 const BETA: f64 = 0.5;
-/// Costs that differ by less than this are equal.
-const EQUAL: f64 = 1e-6;
-/// Use, with the session itself, from which a new one gets a lower rung, and the use for each rung lower. The
-/// mark is lower by the part of its link that the session takes, at most by this: where a few sessions fill a
-/// link, the next one is as likely to overfill it.
-const START_MARK: f64 = 0.8;
-const STEP: f64 = 0.1;
-const COARSE: f64 = 0.1;
-/// Use, at the higher rate, under which a playing session is stepped up; newcomers are let in while use stays
-/// under it once all stand at their lowest rungs.
-const MARK: f64 = 0.8;
-/// Use over which playing sessions are stepped down.
-const FULL: f64 = 1.0;
-/// A session changes rung at most once in this time, by the delay of delivered shares: what a change led to
-/// has been heard by then. 2.5 s where news is as late as on the first deployments.
-const HOLD: f64 = 3.0;
-/// Shares delivered under this tell of a link or uplink that is asked too much.
-const SHORT: f64 = 0.98;
-/// What probes may cost, as a share of what sessions earn: each session pays for as many.
-const PROBE_SHARE: f64 = 0.04;
-/// Time between the probes of a server, for each session that this front has there: probes are priced by
-/// the session. The first one comes sooner.
-const PROBE_PACE: Ms = 25_000.0;
-const PROBE_FIRST: Ms = 1_500.0;
-/// After a step down, news older than its own delay and this, by the same delay, is of the time before.
-const SETTLE: f64 = 1.2;
-/// Weight of a report against what the table expected: reports are noisy.
-const MERGE: f64 = 0.5;
-/// A report older than this no longer counts: its server is as one not heard from.
-const STALE: Ms = 15_000.0;
-/// Shares delivered under this are taken for this.
-const LEAST_SHARE: f64 = 0.1;
-/// Share of the start target that the first SETUP may take while others could follow.
-const FIRST_SHARE: f64 = 0.45;
-/// A time-out under this share of the start target would cut off sound servers.
-const LEAST_TIMEOUT: f64 = 0.1;
-/// How long a server is set aside from its first failure in a row, doubled for each further one, and at most.
-const ASIDE: Ms = 1_000.0;
-const ASIDE_MOST: Ms = 8_000.0;
-/// Where fronts tell each other, one that answers again is heard of sooner than it could be asked.
-const ASIDE_TOLD: Ms = 4_000.0;
-/// Share of a cold server's budget that all fronts may count on.
-const COLD_CERTAIN: f64 = 0.9;
-/// A holder whose news is older than this is asked by a probe before a session goes there, for so long, at so
-/// many holders at most, and while this share of the start target is left.
-const ASK_AFTER: Ms = 3_000.0;
-const ASK_WAIT: Ms = 200.0;
-const ASK_MOST: usize = 3;
-const ASK_TARGET: f64 = 0.6;
-/// Messages that reach another front, for each request taken: so much is told whatever the number of fronts,
-/// and all of them together tell the more often the more requests come.
-const TELL_SHARE: f64 = 2.0;
-/// How long a busy reply counts as all streams of the server in use.
-const BUSY: Ms = 1_000.0;
-/// An answer is given this long before the viewer gives up.
+/// Costs that differ by less are equal.
+const COST_TOLERANCE: f64 = 1e-6;
+/// Use, including the new session, above which a session starts below its highest rung.
+const START_USE: f64 = 0.8;
+/// A session starts one rung lower for each such step of use above `START_USE`.
+const START_USE_PER_RUNG: f64 = 0.1;
+/// `START_USE` is lowered by the share of the link that the session itself takes, at most by this: where a few
+/// sessions fill a link, the next one is likely to overload it.
+const MAX_START_USE_REDUCTION: f64 = 0.1;
+/// Playing sessions are stepped up while use at the higher rate stays under this. New sessions are accepted
+/// while use would stay under it with all sessions at their lowest rungs.
+const TARGET_USE: f64 = 0.8;
+/// Playing sessions are stepped down above this use.
+const FULL_USE: f64 = 1.0;
+/// Least time between two changes of a session's rung, in measurement delays: the effect of the first change
+/// has been measured by then. At the delays of the first deployments this is 2.5 s.
+const RUNG_HOLD_DELAYS: f64 = 3.0;
+/// A smaller delivered share shows an overloaded link or uplink.
+const SUFFICIENT_SHARE: f64 = 0.98;
+/// Most that probes may cost, as a share of the utility of sessions: each session pays for that many.
+const PROBE_COST_SHARE: f64 = 0.04;
+/// Interval between probes of a server, divided by the number of this front's sessions there: sessions pay for
+/// probes.
+const PROBE_INTERVAL: Ms = 25_000.0;
+/// The first probe of a server comes within this time.
+const FIRST_PROBE_WITHIN: Ms = 1_500.0;
+/// After a step down, reports are ignored for the measurement delay and this many further delays: they show
+/// the time before it.
+const SETTLE_DELAYS: f64 = 1.2;
+/// Weight of a report against the value expected from earlier ones: single reports are noisy.
+const REPORT_WEIGHT: f64 = 0.5;
+/// Age above which a measurement no longer counts, as if there were none.
+const MEASUREMENT_LIFETIME: Ms = 15_000.0;
+/// Smaller delivered shares count as this.
+const MIN_DELIVERED_SHARE: f64 = 0.1;
+/// Share of the remaining start target that the first SETUP may take where another could follow.
+const FIRST_SETUP_SHARE: f64 = 0.45;
+/// Least time-out of a first SETUP, as a share of the start target: a shorter one would cut off healthy servers.
+const MIN_TIMEOUT_SHARE: f64 = 0.1;
+/// For how long a server is set aside after its first failure; doubled with each consecutive one.
+const EXCLUSION_BASE: Ms = 1_000.0;
+const EXCLUSION_MAX: Ms = 8_000.0;
+/// `EXCLUSION_BASE` where fronts exchange reports: a server's recovery is reported sooner than a probe of this
+/// front would show it.
+const EXCLUSION_BASE_WITH_PEERS: Ms = 4_000.0;
+/// Share of a cold server's budget that all fronts together may use.
+const COLD_BUDGET_SHARE: f64 = 0.9;
+/// A holder whose last measurement is older is probed before a session goes there.
+const PROBE_IF_OLDER_THAN: Ms = 3_000.0;
+/// How long the answer to a probe is waited for.
+const PROBE_WAIT: Ms = 200.0;
+/// Most holders that are probed for one session.
+const MAX_PROBES_PER_SESSION: usize = 3;
+/// Holders are probed only while more than this share of the start target is left.
+const MIN_TARGET_LEFT_TO_PROBE: f64 = 0.6;
+/// Messages that fronts receive from this one, for each request: the cost does not depend on the number of
+/// fronts, and all fronts together report the more often the more requests arrive.
+const PEER_MESSAGES_PER_REQUEST: f64 = 2.0;
+/// For how long after a busy reply all streams of the server count as in use.
+const BUSY_DURATION: Ms = 1_000.0;
+/// Viewers are answered this long before they give up.
 const ANSWER_MARGIN: Ms = 30.0;
-/// Where the list is asked for, the time between questions by the grace of a drain, and at most: a question
-/// whose answer is lost is followed by others in time.
-const LIST_PACE: f64 = 0.8;
-const LIST_MOST: Ms = 500.0;
-/// Where it is followed, by the time after which a front counts as told or news is stale: the first call
-/// comes within this share of it, and after a failure the next in about this share, doubled for each further
-/// one.
-const LIST_FIRST: f64 = 0.25;
-const LIST_RETRY: f64 = 0.05;
-/// How often the rungs are looked over.
-const LOOK: Ms = 250.0;
-/// How often a session that waits for a cold server is looked at again.
-const COLD_LOOK: Ms = 20.0;
+/// Interval between calls for a polled list, as a share of the drain grace: if one answer is lost, another
+/// arrives in time.
+const LIST_POLL_SHARE: f64 = 0.8;
+const MAX_LIST_POLL_INTERVAL: Ms = 500.0;
+/// The first watch call comes within this share of the time after which the list is assumed known or
+/// measurements expire.
+const FIRST_LIST_CALL_SHARE: f64 = 0.25;
+/// Mean wait after a failed watch call, as a share of the same time; doubled with each consecutive failure.
+const LIST_RETRY_SHARE: f64 = 0.05;
+/// Interval at which the rungs are reviewed.
+const REVIEW_INTERVAL: Ms = 250.0;
+/// Interval at which a session that waits for a cold server is reviewed.
+const COLD_REVIEW_INTERVAL: Ms = 20.0;
 
 type Loads = BTreeMap<ServerId, Load>;
 
 impl FrontState {
-    // ---- news ----
+    // ---- reports and other events ----
 
-    /// A session plays.
-    pub fn session_started(&mut self, hand: &mut SessionTable, id: SessionId, now: Ms) {
-        let Some(s) = hand.sessions.get_mut(&id) else { return };
+    /// Records that a session started to play.
+    pub fn session_started(&mut self, table: &mut SessionTable, id: SessionId, now: Ms) {
+        let Some(s) = table.sessions.get_mut(&id) else { return };
         (s.playing, s.answered, s.rung_set_at) = (true, true, now);
-        let erred = std::mem::take(&mut s.errored_servers);
-        if let Some(at) = s.server {
-            self.judge(at, None, now);
+        let errored = std::mem::take(&mut s.errored_servers);
+        if let Some(server) = s.server {
+            self.update_health(server, None, now);
         }
-        erred.into_iter().for_each(|server| self.judge(server, Some(SetupOutcome::Errored), now));
+        errored.into_iter().for_each(|server| self.update_health(server, Some(SetupOutcome::Errored), now));
     }
 
-    /// A load report, its values in the order of the terms' columns.
-    pub fn record_report(&mut self, hand: &mut SessionTable, server: ServerId, values: &[f64], now: Ms) {
-        if let (true, Some(s)) = (values.iter().any(|v| sound(*v)), self.fleet.servers.get_mut(&server)) {
+    /// Records a load report, whose values are in the order of the settings' report columns.
+    pub fn record_report(&mut self, table: &mut SessionTable, server: ServerId, values: &[f64], now: Ms) {
+        if let (true, Some(s)) =
+            (values.iter().any(|v| is_plausible(*v)), self.fleet.servers.get_mut(&server))
+        {
             s.last_report_at = now;
         }
         let columns = self.settings.report_columns.clone();
-        for (column, &v) in columns.iter().zip(values) {
+        for (column, &value) in columns.iter().zip(values) {
             match column {
                 ReportColumn::Streams => {
-                    let own = hand.loads(&self.settings).get(&server).copied().unwrap_or_default();
-                    if let (true, Some(s)) = (sound(v), self.fleet.servers.get_mut(&server)) {
-                        s.streams = Some(Measurement { value: v, measured_at: now, own_load: own.streams });
+                    let own = table.loads(&self.settings).get(&server).copied().unwrap_or_default();
+                    if let (true, Some(s)) = (is_plausible(value), self.fleet.servers.get_mut(&server)) {
+                        s.streams = Some(Measurement { value, measured_at: now, own_load: own.streams });
                     }
                 }
-                ReportColumn::Link => self.record_link_use(hand, server, v, now),
-                ReportColumn::Uplink => self.record_uplink_use(hand, server, v, now),
+                ReportColumn::Link => self.record_link_use(table, server, value, now),
+                ReportColumn::Uplink => self.record_uplink_use(table, server, value, now),
                 ReportColumn::Other => {}
             }
         }
     }
 
-    /// What is asked of a server's link over what it gives.
-    pub fn record_link_use(&mut self, hand: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
+    /// Records the demand on a server's link over its capacity.
+    pub fn record_link_use(&mut self, table: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
         if self.fleet.servers.contains_key(&server) {
-            self.told(hand, SharedLink::Link(server), use_, now);
+            self.record_use(table, SharedLink::Link(server), use_, now);
         }
     }
 
-    /// The same of the uplink of its rack.
-    pub fn record_uplink_use(&mut self, hand: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
+    /// Records the demand on the uplink of a server's rack over its capacity.
+    pub fn record_uplink_use(&mut self, table: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
         if let Some(rack) = self.rack_of(server) {
-            self.told(hand, SharedLink::Uplink(rack), use_, now);
+            self.record_use(table, SharedLink::Uplink(rack), use_, now);
         }
     }
 
-    /// What another front tells of servers. What this front has heard since stands.
-    pub fn record_peer_reports(&mut self, hand: &mut SessionTable, news: &[PeerReport], now: Ms) {
-        for n in news.iter().filter(|n| sound(n.link_use) && sound(n.stream_use) && sound(n.age)) {
-            let own = hand.loads(&self.settings).get(&n.server).copied().unwrap_or_default();
-            let Some(s) = self.fleet.servers.get_mut(&n.server) else { continue };
-            let at = now - n.age;
-            let lives = s.died_at.is_some_and(|died| at > died && now - n.process_age < died);
-            // What this front saw fail answered another one since: its own next SETUP tells whether it does
-            // so here.
-            if s.failures > 0 && at > s.last_failure_at {
-                self.judge(n.server, None, now);
+    /// Records reports of another front. Newer measurements of this front's own stay.
+    pub fn record_peer_reports(&mut self, table: &mut SessionTable, reports: &[PeerReport], now: Ms) {
+        for report in reports
+            .iter()
+            .filter(|r| is_plausible(r.link_use) && is_plausible(r.stream_use) && is_plausible(r.age))
+        {
+            let own = table.loads(&self.settings).get(&report.server).copied().unwrap_or_default();
+            let Some(s) = self.fleet.servers.get_mut(&report.server) else { continue };
+            let measured_at = now - report.age;
+            let survived =
+                s.died_at.is_some_and(|died| measured_at > died && now - report.process_age < died);
+            // The server has answered another front since it failed here: the next SETUP of this front shows
+            // whether it answers this one too.
+            if s.failures > 0 && measured_at > s.last_failure_at {
+                self.update_health(report.server, None, now);
             }
-            if lives {
-                self.confirm_alive(n.server, now - n.process_age);
+            if survived {
+                self.confirm_alive(report.server, now - report.process_age);
             }
-            let Some(s) = self.fleet.servers.get_mut(&n.server) else { continue };
-            if s.link_use.is_some_and(|seen| seen.measured_at >= at) {
+            let Some(s) = self.fleet.servers.get_mut(&report.server) else { continue };
+            if s.link_use.is_some_and(|last| last.measured_at >= measured_at) {
                 continue;
             }
-            let most = self.settings.max_streams(&s.entry);
-            s.streams =
-                Some(Measurement { value: n.stream_use * most, measured_at: at, own_load: own.streams });
-            let line = SharedLink::Link(n.server);
-            let there = |s: &Session| self.on_line(s, line);
-            let since = hand.growth_since(&self.settings, there, at - self.settings.measurement_delay)
-                / self.kb(line);
-            // The front that tells it has merged it already.
-            self.heard(hand, line, (n.link_use + since).max(0.0), 1.0, at, now);
-        }
-    }
-
-    /// Whether fronts tell each other: where there are more of them than servers, so that each has less than
-    /// one server's part to know of. A front with the part of several hears of them often enough by its own
-    /// sessions and probes; two fronts that told each other of every server stepped sessions up and down
-    /// several times as often, for three times the probes.
-    fn tells(&self) -> bool {
+            let max_streams = self.settings.max_streams(&s.entry);
+            s.streams = Some(Measurement {
+                value: report.stream_use * max_streams,
+                measured_at,
+                own_load: own.streams,
+            });
+            let link = SharedLink::Link(report.server);
+            let on_link = |s: &Session| self.uses_link(s, link);
+            let growth =
+                table.growth_since(&self.settings, on_link, measured_at - self.settings.measurement_delay)
+                    / self.capacity(link);
+            // The reporting front has already smoothed this value.
+            self.merge_measurement(table, link, (report.link_use + growth).max(0.0), 1.0, measured_at, now);
+        }
+    }
+
+    /// Whether fronts exchange reports: only where there are more fronts than servers, so that each front
+    /// carries less than one server's load. A front that carries more measures all servers often enough by its
+    /// own sessions and probes. Two fronts that exchanged reports on every server changed rungs several times as
+    /// often, at three times the probes.
+    fn exchanges_peer_reports(&self) -> bool {
         let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready);
         self.settings.peer_messages_allowed && self.settings.front_count as usize > ready.count().max(1)
     }
 
-    /// News for the other fronts. A probe's answer is worth as much to each of them as to this one, and their
-    /// probes are priced like its own: each front earns with each request that it takes a part of one message
-    /// to all, asks the servers that it has not heard from of late, and tells what they answer. So news is as
-    /// old everywhere as the fleet's requests pay for, however thin the traffic of one front.
-    fn tell(&mut self, due: &mut DueActions, now: Ms) {
-        let others = self.settings.front_count.saturating_sub(1) as f64;
-        if !self.tells() || !self.settings.probes_report_link() {
+    /// Prepares reports for the other fronts. The answer to a probe is worth as much to each of them as to this
+    /// front, and all pay the same price for probes. So each request pays for a part of one message to all
+    /// fronts; once a message is paid for, this front probes the servers with the oldest measurements and reports
+    /// their answers. The age of measurements thus depends on the requests of the whole fleet, not on the traffic
+    /// of one front.
+    fn report_to_peers(&mut self, due: &mut DueActions, now: Ms) {
+        let other_fronts = self.settings.front_count.saturating_sub(1) as f64;
+        if !self.exchanges_peer_reports() || !self.settings.probes_report_link() {
             return;
         }
         let servers = &self.fleet.servers;
-        let heard = |id: &ServerId| {
+        let measured_at = |id: &ServerId| {
             servers.get(id).and_then(|s| s.link_use).map_or(Ms::NEG_INFINITY, |l| l.measured_at)
         };
-        // Only what this front was answered itself: news passed on and on would never end, that of a dead
-        // server too.
-        let answered = |id: &ServerId| servers.get(id).map_or(Ms::NEG_INFINITY, |s| s.last_report_at);
-        if let Some((asked, since)) = &self.pending_peer_report {
-            if now - since < ASK_WAIT && asked.iter().any(|id| answered(id) < *since) {
-                due.next_call_at = due.next_call_at.min(since + ASK_WAIT);
+        // Only answers to this front itself are passed on: else reports would circulate for ever, those on dead
+        // servers too.
+        let answered_at = |id: &ServerId| servers.get(id).map_or(Ms::NEG_INFINITY, |s| s.last_report_at);
+        if let Some((probed, since)) = &self.pending_peer_report {
+            if now - since < PROBE_WAIT && probed.iter().any(|id| answered_at(id) < *since) {
+                due.next_call_at = due.next_call_at.min(since + PROBE_WAIT);
                 return;
             }
-            for id in asked.iter().filter(|id| answered(id) >= *since) {
+            for id in probed.iter().filter(|id| answered_at(id) >= *since) {
                 let s = &servers[id];
-                let most = self.settings.max_streams(&s.entry);
-                let streams = s.streams.map_or(0.0, |seen| seen.value) / most;
+                let max_streams = self.settings.max_streams(&s.entry);
+                let stream_use = s.streams.map_or(0.0, |m| m.value) / max_streams;
                 due.peer_reports.push(PeerReport {
                     server: *id,
-                    stream_use: streams,
+                    stream_use,
                     link_use: s.link_use.map_or(0.0, |l| l.value),
                     process_age: 0.0,
-                    age: now - answered(id),
+                    age: now - answered_at(id),
                 });
             }
             self.pending_peer_report = None;
         }
-        // A front that starts is anywhere in its turn: those that start together do not tell together.
-        let (chance, untold) = (self.rng.f64(), self.requests_since_peer_report.unwrap_or(f64::NAN));
-        let untold = if untold.is_nan() { chance * others / TELL_SHARE } else { untold };
-        self.requests_since_peer_report = Some(untold);
-        if untold * TELL_SHARE < others {
+        // A random initial count keeps fronts that start together from reporting together.
+        let (chance, requests) = (self.rng.f64(), self.requests_since_peer_report.unwrap_or(f64::NAN));
+        let requests =
+            if requests.is_nan() { chance * other_fronts / PEER_MESSAGES_PER_REQUEST } else { requests };
+        self.requests_since_peer_report = Some(requests);
+        if requests * PEER_MESSAGES_PER_REQUEST < other_fronts {
             return;
         }
         self.requests_since_peer_report = Some(0.0);
-        let able = servers.values().filter(|s| s.entry.state == ServerState::Ready);
-        let old = able
-            .map(|s| (heard(&s.entry.id), s.entry.id))
+        let ready = servers.values().filter(|s| s.entry.state == ServerState::Ready);
+        let oldest = ready
+            .map(|s| (measured_at(&s.entry.id), s.entry.id))
             .filter(|(at, _)| now - at > self.settings.measurement_delay);
-        let mut old: Vec<(Ms, ServerId)> = old.collect();
-        old.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let asked: Vec<ServerId> = old.into_iter().take(PEER_REPORTS_PER_MESSAGE).map(|(_, id)| id).collect();
-        due.probes.extend(&asked);
-        due.next_call_at = due.next_call_at.min(now + ASK_WAIT);
-        self.pending_peer_report = Some((asked, now));
+        let mut oldest: Vec<(Ms, ServerId)> = oldest.collect();
+        oldest.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let probed: Vec<ServerId> =
+            oldest.into_iter().take(PEER_REPORTS_PER_MESSAGE).map(|(_, id)| id).collect();
+        due.probes.extend(&probed);
+        due.next_call_at = due.next_call_at.min(now + PROBE_WAIT);
+        self.pending_peer_report = Some((probed, now));
     }
 
-    // ---- the list ----
+    // ---- the server list ----
 
-    /// When to ask for the list. Fronts that start together do not ask together: it is one service for all.
-    fn ask_list(&mut self, due: &mut DueActions, now: Ms) {
-        let (first, pace) = match self.settings.list_delivery {
+    /// Schedules the calls for the list. Fronts that start together call at random times, as one service answers
+    /// all of them.
+    fn schedule_list_call(&mut self, due: &mut DueActions, now: Ms) {
+        let (first_within, interval) = match self.settings.list_delivery {
             ListDelivery::Pushed => return,
-            ListDelivery::Watched { assumed_known_after } => {
-                (assumed_known_after.min(STALE) * LIST_FIRST, assumed_known_after.min(STALE))
-            }
+            ListDelivery::Watched { assumed_known_after } => (
+                assumed_known_after.min(MEASUREMENT_LIFETIME) * FIRST_LIST_CALL_SHARE,
+                assumed_known_after.min(MEASUREMENT_LIFETIME),
+            ),
             ListDelivery::Polled { grace } => {
-                let pace = (grace * LIST_PACE).clamp(COLD_LOOK, LIST_MOST);
-                (pace, pace)
+                let interval = (grace * LIST_POLL_SHARE).clamp(COLD_REVIEW_INTERVAL, MAX_LIST_POLL_INTERVAL);
+                (interval, interval)
             }
         };
-        let at = self.next_list_call_at.unwrap_or_else(|| now + first * self.rng.f64());
-        due.request_list = at <= now;
-        // A call that nothing answers is followed by another; questions that were missed are not made up for.
-        let next = if due.request_list { at.max(now - pace) + pace } else { at };
+        let call_at = self.next_list_call_at.unwrap_or_else(|| now + first_within * self.rng.f64());
+        due.request_list = call_at <= now;
+        // A call without an answer is followed by the next one; calls that were missed are not made up for.
+        let next = if due.request_list { call_at.max(now - interval) + interval } else { call_at };
         self.next_list_call_at = Some(next);
         due.next_call_at = due.next_call_at.min(next);
     }
 
-    /// What was asked for is told: changes come by themselves now.
+    /// Records that a watch call was answered: changes are pushed from now on.
     pub fn list_received(&mut self) {
         if let ListDelivery::Watched { .. } = self.settings.list_delivery {
             (self.next_list_call_at, self.list_failures) = (Some(Ms::INFINITY), 0);
         }
     }
 
-    /// A call failed, or what was followed broke off: all fronts come again by chance, ever more seldom.
+    /// Records that a watch call failed or a watch broke off. The next call comes after a random wait that
+    /// doubles with each consecutive failure.
     pub fn list_call_failed(&mut self, now: Ms) {
         let ListDelivery::Watched { assumed_known_after } = self.settings.list_delivery else { return };
         self.list_failures += 1;
-        let wait = LIST_RETRY * 2f64.powi(self.list_failures.min(10) - 1) * (0.5 + self.rng.f64());
-        self.next_list_call_at = Some(now + assumed_known_after.min(STALE) * wait.min(1.0));
+        let wait = LIST_RETRY_SHARE * 2f64.powi(self.list_failures.min(10) - 1) * (0.5 + self.rng.f64());
+        self.next_list_call_at = Some(now + assumed_known_after.min(MEASUREMENT_LIFETIME) * wait.min(1.0));
         self.log_lines.push(format!("list not told fails={}", self.list_failures));
     }
 
-    /// A report is about as late as a delivered share: what this front has added since is not yet in it.
-    fn told(&mut self, hand: &mut SessionTable, line: SharedLink, use_: f64, now: Ms) {
-        let there = |s: &Session| self.on_line(s, line);
-        let since =
-            hand.growth_since(&self.settings, there, now - self.settings.measurement_delay) / self.kb(line);
-        if sound(use_) {
-            self.heard(hand, line, (use_ + since).max(0.0), MERGE, now, now);
+    // ---- measurements of links ----
+
+    /// Records a report of a link's use. It is about as old as a delivered share, so the load that this front
+    /// has added meanwhile is added to it.
+    fn record_use(&mut self, table: &mut SessionTable, link: SharedLink, use_: f64, now: Ms) {
+        let on_link = |s: &Session| self.uses_link(s, link);
+        let growth = table.growth_since(&self.settings, on_link, now - self.settings.measurement_delay)
+            / self.capacity(link);
+        if is_plausible(use_) {
+            self.merge_measurement(table, link, (use_ + growth).max(0.0), REPORT_WEIGHT, now, now);
         }
     }
 
-    /// News of a line enters the table, merged by its weight with what the table expected. Above 1.0 the
-    /// newest sessions there are stepped down until this front's own load fits: every front sheds its own
-    /// part of what is too much. Just after that, what is told is still of the time before and stays out.
-    fn heard(&mut self, hand: &mut SessionTable, line: SharedLink, told: f64, weight: f64, at: Ms, now: Ms) {
-        let own = self.own_kb(&hand.loads(&self.settings), line);
-        let size = self.kb(line);
-        let Some((seen, settled_at)) = self.fleet.link_state_mut(line) else { return };
-        if !sound(told) || now < *settled_at {
+    /// Merges a measurement with the value expected from earlier ones, by its weight. Above full use, the newest
+    /// sessions on the link are stepped down until this front's own load fits: every front sheds its own part of
+    /// the excess. Measurements just after that still show the time before and are ignored.
+    fn merge_measurement(
+        &mut self,
+        table: &mut SessionTable,
+        link: SharedLink,
+        measured: f64,
+        weight: f64,
+        measured_at: Ms,
+        now: Ms,
+    ) {
+        let own = self.own_load(&table.loads(&self.settings), link);
+        let capacity = self.capacity(link);
+        let Some((last, ignore_until)) = self.fleet.link_state_mut(link) else { return };
+        if !is_plausible(measured) || now < *ignore_until {
             return;
         }
-        let use_ = match *seen {
-            Some(old) if now - old.measured_at < STALE => {
-                weight * told + (1.0 - weight) * moved_on(old, own, size)
+        let use_ = match *last {
+            Some(last) if now - last.measured_at < MEASUREMENT_LIFETIME => {
+                weight * measured + (1.0 - weight) * extrapolate(last, own, capacity)
             }
-            _ => told,
+            _ => measured,
         };
-        let since = seen.map_or(Ms::INFINITY, |old| at - old.measured_at);
-        *seen = Some(Measurement { value: use_, measured_at: at, own_load: own });
-        if let SharedLink::Link(id) = line {
-            // What was filled within the delay of news is not in it yet.
-            let gain = (since / (self.settings.measurement_delay * (1.0 + SETTLE)).max(1.0)).min(1.0);
-            self.fill(hand, id, gain, now);
-        }
-        // Its part is by what it can give: sessions at their lowest rungs, here or elsewhere, give nothing.
-        let can_give = 1.0 - self.lowest(hand, |s| self.on_line(s, line));
-        let all_can = (1.0 - self.lowest(hand, |s| s.server.is_some())).max(1e-3);
-        let fits = own * (1.0 - (1.0 - FULL / use_) * can_give / all_can);
-        if use_ > FULL && self.shed(hand, line, fits, now) {
-            self.log_lines.push(format!("over {line} use={use_:.2}"));
-            let until = now + self.settings.measurement_delay * (1.0 + SETTLE);
-            self.fleet.link_state_mut(line).into_iter().for_each(|(_, settled_at)| *settled_at = until);
-        }
-    }
-
-    /// The share of their rates that sessions at a server got: its link is asked for so much more than it
-    /// gives. Where the uplink is what falls short, every server of the rack tells so for itself.
-    pub fn record_delivered_share(&mut self, hand: &mut SessionTable, server: ServerId, share: f64, now: Ms) {
-        if !sound(share) || !self.fleet.servers.contains_key(&server) {
+        let since_last = last.map_or(Ms::INFINITY, |last| measured_at - last.measured_at);
+        *last = Some(Measurement { value: use_, measured_at, own_load: own });
+        if let SharedLink::Link(id) = link {
+            // Capacity used within the measurement delay does not show in the measurement yet.
+            let gain =
+                (since_last / (self.settings.measurement_delay * (1.0 + SETTLE_DELAYS)).max(1.0)).min(1.0);
+            self.use_spare_capacity(table, id, gain, now);
+        }
+        // This front's part of the excess follows what it can shed: sessions at their lowest rungs, here or
+        // elsewhere, can shed nothing.
+        let can_shed = 1.0 - self.lowest_rung_load_share(table, |s| self.uses_link(s, link));
+        let all_can_shed = (1.0 - self.lowest_rung_load_share(table, |s| s.server.is_some())).max(1e-3);
+        let own_limit = own * (1.0 - (1.0 - FULL_USE / use_) * can_shed / all_can_shed);
+        if use_ > FULL_USE && self.step_down(table, link, own_limit, now) {
+            self.log_lines.push(format!("over {link} use={use_:.2}"));
+            let until = now + self.settings.measurement_delay * (1.0 + SETTLE_DELAYS);
+            self.fleet.link_state_mut(link).into_iter().for_each(|(_, ignore_until)| *ignore_until = until);
+        }
+    }
+
+    /// Records the share of their rates that sessions at a server received: demand on its link exceeds the
+    /// capacity by the inverse. Where the uplink is the bottleneck, every server of the rack reports it for
+    /// itself.
+    pub fn record_delivered_share(
+        &mut self,
+        table: &mut SessionTable,
+        server: ServerId,
+        share: f64,
+        now: Ms,
+    ) {
+        if !is_plausible(share) || !self.fleet.servers.contains_key(&server) {
             return;
         }
-        let asked = 1.0 / share.max(LEAST_SHARE);
-        // Once it is enough again, only what was heard of a shortage no longer stands.
-        if share < SHORT || self.link_use(&hand.loads(&self.settings), server) > asked {
-            self.heard(hand, SharedLink::Link(server), asked, 1.0, now, now);
+        let demand = 1.0 / share.max(MIN_DELIVERED_SHARE);
+        // A sufficient share shows no more than that an earlier shortage is over.
+        if share < SUFFICIENT_SHARE || self.link_use(&table.loads(&self.settings), server) > demand {
+            self.merge_measurement(table, SharedLink::Link(server), demand, 1.0, now, now);
         }
     }
 
-    /// The answer to a probe. Sessions that wait for it are placed next.
+    /// Records the outcome of a probe. Sessions held for it are placed next.
     pub fn probe_finished(
         &mut self,
-        hand: &mut SessionTable,
+        table: &mut SessionTable,
         server: ServerId,
-        ending: SetupOutcome,
+        outcome: SetupOutcome,
         now: Ms,
     ) {
-        for s in hand.sessions.values_mut().filter(|s| s.awaited_probe == Some(server)) {
+        for s in table.sessions.values_mut().filter(|s| s.awaited_probe == Some(server)) {
             s.held_until = Some(now);
         }
-        self.judge(server, (ending != SetupOutcome::Done).then_some(ending), now);
+        self.update_health(server, (outcome != SetupOutcome::Done).then_some(outcome), now);
     }
 
-    // ---- the first call: where to ----
+    // ---- the first question: where to place a session ----
 
-    pub fn place(&mut self, hand: &mut SessionTable, id: SessionId, now: Ms) -> Placement {
+    /// Decides where a session goes, and records that in the session table.
+    pub fn place(&mut self, table: &mut SessionTable, id: SessionId, now: Ms) -> Placement {
         self.last_call_at = now;
-        let Some(s) = hand.sessions.get(&id) else { return Placement::NoAction };
+        let Some(s) = table.sessions.get(&id) else { return Placement::NoAction };
         if s.answered || s.server.is_some() {
             return Placement::NoAction;
         }
         let s = s.clone();
-        self.take_stock(hand, &hand.loads(&self.settings), now);
-        let answer = self.choose(hand, &s, now);
-        let s = hand.sessions.get_mut(&id).expect("the session that was just read");
-        match &answer {
+        self.estimate_foreign_load(table, &table.loads(&self.settings), now);
+        let placement = self.choose_placement(table, &s, now);
+        let s = table.sessions.get_mut(&id).expect("the session was just read");
+        match &placement {
             Placement::Setup { server, rung, .. } => {
                 if s.setup_count > 0 && self.settings.retry_budget.is_some() {
                     self.retry_times.push_back(now);
                 }
-                let span = self.settings.cold_start.map_or(0.0, |c| c.window + c.connect_timeout);
-                let to = self.fleet.servers.get_mut(server).expect("a holder");
-                to.recent_setups.retain(|t| *t > now - span);
-                to.recent_setups.push(now);
+                let window = self.settings.cold_start.map_or(0.0, |c| c.window + c.connect_timeout);
+                let chosen = self.fleet.servers.get_mut(server).expect("holders are known servers");
+                chosen.recent_setups.retain(|t| *t > now - window);
+                chosen.recent_setups.push(now);
                 (s.server, s.rung, s.setup_sent_at, s.held_until) = (Some(*server), *rung, now, None);
                 (s.previous_kb_per_s, s.rate_changed_at) = (0.0, now);
                 s.setup_count += 1;
             }
             Placement::NotYet => {
-                let asking = self.awaited_probe.take();
-                s.held_until = Some(now + if asking.is_some() { ASK_WAIT } else { COLD_LOOK });
-                s.awaited_probe = asking;
-                s.probed_servers.extend(asking);
-                self.pending_probes.extend(asking);
+                let probed = self.awaited_probe.take();
+                s.held_until = Some(now + if probed.is_some() { PROBE_WAIT } else { COLD_REVIEW_INTERVAL });
+                s.awaited_probe = probed;
+                s.probed_servers.extend(probed);
+                self.pending_probes.extend(probed);
             }
             Placement::NoAction => {}
-            Placement::BusyReply { .. } | Placement::TornDown => drop(hand.sessions.remove(&id)),
+            Placement::BusyReply { .. } | Placement::TornDown => drop(table.sessions.remove(&id)),
         }
-        answer
+        placement
     }
 
-    fn choose(&mut self, hand: &SessionTable, s: &Session, now: Ms) -> Placement {
+    fn choose_placement(&mut self, table: &SessionTable, s: &Session, now: Ms) -> Placement {
         let group = self.settings.service_groups[s.group.0 as usize].clone();
         let give_up = self.give_up(s);
-        let left = s.viewer_deadline - now;
-        let seats_gone = group.max_sessions_per_title > 0
-            && hand.sessions_of_title(s.title, s.group) >= group.max_sessions_per_title;
-        let setups_gone =
-            s.setup_count >= self.settings.max_setups || s.setup_count > 0 && !self.budget_left(now);
-        if left <= ANSWER_MARGIN || seats_gone || setups_gone {
+        let time_left = s.viewer_deadline - now;
+        let title_limit_reached = group.max_sessions_per_title > 0
+            && table.sessions_of_title(s.title, s.group) >= group.max_sessions_per_title;
+        let setups_used_up =
+            s.setup_count >= self.settings.max_setups || s.setup_count > 0 && !self.retry_budget_left(now);
+        if time_left <= ANSWER_MARGIN || title_limit_reached || setups_used_up {
             return give_up;
         }
-        let loads = hand.loads(&self.settings);
+        let loads = table.loads(&self.settings);
         let ready = self.fleet.servers.values().filter(|r| r.entry.state == ServerState::Ready);
-        let able: Vec<ServerId> = ready
-            .filter(|r| self.settings.is_holder(&r.entry, &s.holders) && self.may_run(s, r, now))
+        let usable: Vec<ServerId> = ready
+            .filter(|r| self.settings.is_holder(&r.entry, &s.holders) && self.setup_is_safe(s, r, now))
             .map(|r| r.entry.id)
-            .filter(|r| self.has_room(hand, &loads, *r, s))
+            .filter(|id| self.has_room(table, &loads, *id, s))
             .collect();
-        // Ordinary path: holders neither set aside nor tried by this session; then tried ones last.
-        let aside = |r: &ServerId| self.fleet.servers[r].excluded_until > now || s.tried_servers.contains(r);
-        let sound_ones: Vec<ServerId> = able.iter().copied().filter(|r| !aside(r)).collect();
-        // All holders are set aside or did not take this session: any but the last one tried.
-        let last = |r: &ServerId| s.tried_servers.last() == Some(r) && able.len() > 1;
-        let others: Vec<ServerId> = able.iter().copied().filter(|r| !last(r)).collect();
-        let pick = self.cheapest(&loads, &sound_ones, now).or_else(|| self.cheapest(&loads, &others, now));
-        let Some(server) = pick else {
-            let soon = able.iter().filter_map(|r| self.cold_wait(r, now)).fold(Ms::INFINITY, Ms::min);
+        // Normally one of the holders that are neither set aside nor were tried for this session.
+        let avoided =
+            |id: &ServerId| self.fleet.servers[id].excluded_until > now || s.tried_servers.contains(id);
+        let preferred: Vec<ServerId> = usable.iter().copied().filter(|id| !avoided(id)).collect();
+        // If there is none, any holder but the one that was tried last.
+        let last_tried = |id: &ServerId| s.tried_servers.last() == Some(id) && usable.len() > 1;
+        let others: Vec<ServerId> = usable.iter().copied().filter(|id| !last_tried(id)).collect();
+        let choice = self.cheapest(&loads, &preferred, now).or_else(|| self.cheapest(&loads, &others, now));
+        let Some(server) = choice else {
+            let wait =
+                usable.iter().filter_map(|id| self.cold_start_wait(id, now)).fold(Ms::INFINITY, Ms::min);
             let in_time =
-                now + soon < (s.arrived_at + group.start_target).min(s.viewer_deadline - ANSWER_MARGIN);
+                now + wait < (s.arrived_at + group.start_target).min(s.viewer_deadline - ANSWER_MARGIN);
             return if in_time { Placement::NotYet } else { give_up };
         };
         let target_left = s.arrived_at + group.start_target - now;
-        // Where its news is old, it is asked first: what it answers may change the choice, and sets the rung.
-        // Guards against placing by a guess: many fronts, a front that comes back, dead servers still listed.
-        // It can harm where probes are slow; a lost answer costs its wait, and none is asked late.
-        let news = self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |seen| seen.measured_at);
-        let in_time = target_left > group.start_target * ASK_TARGET;
-        let may_ask = self.settings.probes_report_link() && self.probe_debt <= 0.0;
-        if may_ask && now - news > ASK_AFTER && s.probed_servers.len() < ASK_MOST && in_time {
+        // A holder with an old measurement is probed first: the answer sets the rung and may change the choice.
+        // Guards against placing by a guess, as with many fronts, after a restart, or with dead servers in the
+        // list. It can do harm where probes are slow. A lost answer costs PROBE_WAIT, and late sessions are not
+        // held.
+        let measured_at =
+            self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |last| last.measured_at);
+        let in_time = target_left > group.start_target * MIN_TARGET_LEFT_TO_PROBE;
+        let may_probe = self.settings.probes_report_link() && self.probe_debt <= 0.0;
+        if may_probe
+            && now - measured_at > PROBE_IF_OLDER_THAN
+            && s.probed_servers.len() < MAX_PROBES_PER_SESSION
+            && in_time
+        {
             self.awaited_probe = Some(server);
             return Placement::NotYet;
         }
-        let rung = self.rung_for(&loads, server, s);
-        // Only the first one is cut short: where two take too long, servers are slow and not dead, and SETUPs
-        // given up and sent anew would keep them so.
-        let further_ok = s.setup_count == 0 && self.settings.max_setups > 1 && able.len() > 1;
-        let timeout = match target_left * FIRST_SHARE {
-            t if further_ok && t >= group.start_target * LEAST_TIMEOUT => t.min(left - ANSWER_MARGIN),
-            _ => left - ANSWER_MARGIN,
+        let rung = self.start_rung(&loads, server, s);
+        // Only the first SETUP has a short time-out: where two take too long, servers are slow and not dead, and
+        // abandoned and repeated SETUPs would keep them slow.
+        let retry_possible = s.setup_count == 0 && self.settings.max_setups > 1 && usable.len() > 1;
+        let timeout = match target_left * FIRST_SETUP_SHARE {
+            t if retry_possible && t >= group.start_target * MIN_TIMEOUT_SHARE => {
+                t.min(time_left - ANSWER_MARGIN)
+            }
+            _ => time_left - ANSWER_MARGIN,
         };
         Placement::Setup { server, rung, timeout }
     }
 
-    /// The answer to a session that this front cannot place; at once, so that its viewer may look elsewhere.
+    /// The answer to a session that this front cannot place. It is given at once, so that the viewer can try
+    /// elsewhere.
     fn give_up(&mut self, s: &Session) -> Placement {
         let repeat = self.settings.service_groups[s.group.0 as usize].repeat;
         if s.first_uncertain_setup.is_some()
@@ -439,130 +494,130 @@
         {
             return Placement::TornDown;
         }
-        // Those who are turned away together do not come back together.
-        let spread = 0.5 + 0.5 * self.rng.f64();
-        Placement::BusyReply { retry_after: self.settings.max_retry_after.map(|most| most * spread) }
+        // Random, so that viewers who are turned away together do not come back together.
+        let jitter = 0.5 + 0.5 * self.rng.f64();
+        Placement::BusyReply { retry_after: self.settings.max_retry_after.map(|max| max * jitter) }
     }
 
-    /// Whether a further SETUP at this server cannot set the session up twice.
-    fn may_run(&self, s: &Session, to: &Server, now: Ms) -> bool {
+    /// Whether a SETUP to this server cannot set the session up twice.
+    fn setup_is_safe(&self, s: &Session, server: &Server, now: Ms) -> bool {
         let group = &self.settings.service_groups[s.group.0 as usize];
-        let Some((first, sent)) = s.first_uncertain_setup else { return true };
+        let Some((first, sent_at)) = s.first_uncertain_setup else { return true };
         match group.repeat {
             RepeatPolicy::Safe => true,
             RepeatPolicy::Once => false,
             RepeatPolicy::Keyed(scope) => {
-                let same = |f: fn(&ListEntry) -> u32| {
-                    self.fleet.servers.get(&first).is_some_and(|a| f(&a.entry) == f(&to.entry))
+                let same = |key: fn(&ListEntry) -> u32| {
+                    self.fleet.servers.get(&first).is_some_and(|f| key(&f.entry) == key(&server.entry))
                 };
-                now - sent < group.key_window
+                now - sent_at < group.key_window
                     && match scope {
                         KeyScope::All => true,
-                        KeyScope::Zone => same(|l| l.zone.0 as u32),
-                        KeyScope::Cell => same(|l| l.cell.0),
+                        KeyScope::Zone => same(|entry| entry.zone.0 as u32),
+                        KeyScope::Cell => same(|entry| entry.cell.0),
                     }
             }
         }
     }
 
-    /// Guards the budget for further SETUPs: counted before the one that is about to be sent.
-    fn budget_left(&mut self, now: Ms) -> bool {
-        let Some(b) = self.settings.retry_budget else { return true };
-        // At the edge of the span a request may no longer count, a further SETUP still may.
-        self.request_times.retain(|t| *t > now - b.window);
-        self.retry_times.retain(|t| *t >= now - b.window);
+    /// Whether the retry budget allows one more retry.
+    fn retry_budget_left(&mut self, now: Ms) -> bool {
+        let Some(budget) = self.settings.retry_budget else { return true };
+        // At the edge of the window a request may no longer count, while a retry still may.
+        self.request_times.retain(|t| *t > now - budget.window);
+        self.retry_times.retain(|t| *t >= now - budget.window);
         (self.retry_times.len() + 1) as f64
-            <= b.free_retries + b.retries_per_request * self.request_times.len() as f64
+            <= budget.free_retries + budget.retries_per_request * self.request_times.len() as f64
     }
 
-    /// WMCA: of the holders that may take a SETUP now, the one of least cost; among equals by chance. Where
-    /// few servers are heard from, most are equals, and all fronts would send to the same one.
-    fn cheapest(&mut self, loads: &Loads, of: &[ServerId], now: Ms) -> Option<ServerId> {
-        let able = of.iter().filter(|r| self.cold_wait(r, now).is_none());
-        let mut all: Vec<(f64, ServerId)> = able.map(|r| (self.cost(loads, *r), *r)).collect();
-        let least = all.iter().map(|(c, _)| *c).fold(f64::INFINITY, f64::min);
-        all.retain(|(c, _)| *c <= least + EQUAL);
-        (!all.is_empty()).then(|| all[self.rng.usize(..all.len())].1)
+    /// WMCA: the holder of least cost among those that may take a SETUP now. The choice among equals is random:
+    /// where few servers are measured most are equal, and all fronts would choose the same one.
+    fn cheapest(&mut self, loads: &Loads, holders: &[ServerId], now: Ms) -> Option<ServerId> {
+        let usable = holders.iter().filter(|id| self.cold_start_wait(id, now).is_none());
+        let mut by_cost: Vec<(f64, ServerId)> = usable.map(|id| (self.cost(loads, *id), *id)).collect();
+        let least = by_cost.iter().map(|(cost, _)| *cost).fold(f64::INFINITY, f64::min);
+        by_cost.retain(|(cost, _)| *cost <= least + COST_TOLERANCE);
+        (!by_cost.is_empty()).then(|| by_cost[self.rng.usize(..by_cost.len())].1)
     }
 
     fn cost(&self, loads: &Loads, server: ServerId) -> f64 {
         let r = &self.fleet.servers[&server];
-        let most = self.settings.max_streams(&r.entry);
+        let max_streams = self.settings.max_streams(&r.entry);
         let uplink = self.uplink_use(loads, self.settings.rack_of_cell(r.entry.cell));
-        ALPHA * self.streams(loads, server, most) / most + BETA * (self.link_use(loads, server) + uplink)
+        ALPHA * self.stream_count(loads, server, max_streams) / max_streams
+            + BETA * (self.link_use(loads, server) + uplink)
     }
 
-    // ---- the table ----
+    // ---- estimates of the current load ----
 
-    /// The told size of a line.
-    fn kb(&self, line: SharedLink) -> f64 {
+    /// Stated capacity of a link, in kB a second.
+    fn capacity(&self, link: SharedLink) -> f64 {
         let weight = |id| {
             let weight = self.fleet.servers.get(&id).map(|s| match self.settings.weight_kind {
                 WeightKind::Capacity => s.entry.weight,
-                // Else a server would look the smaller the more it carries.
+                // The current weight would make a server look the smaller the more it carries.
                 WeightKind::LoadAdjusted => s.largest_weight,
             });
             weight.map_or(1.0, |weight| weight.max(0.01))
         };
-        match line {
+        match link {
             SharedLink::Link(id) => self.settings.link_kb_per_s_per_weight * weight(id),
             SharedLink::Uplink(_) => self.settings.uplink_kb_per_s,
         }
     }
 
-    /// News that is still worth something.
-    fn fresh(&self, seen: Option<Measurement>) -> Option<Measurement> {
-        seen.filter(|seen| self.last_call_at - seen.measured_at < STALE)
+    /// The measurement, if it is recent enough to count.
+    fn fresh(&self, last: Option<Measurement>) -> Option<Measurement> {
+        last.filter(|last| self.last_call_at - last.measured_at < MEASUREMENT_LIFETIME)
     }
 
     fn rack_of(&self, server: ServerId) -> Option<RackId> {
         Some(self.settings.rack_of_cell(self.fleet.servers.get(&server)?.entry.cell))
     }
 
-    /// This front's own load on a line.
-    fn own_kb(&self, loads: &Loads, line: SharedLink) -> f64 {
-        match line {
+    /// This front's own load on a link, in kB a second.
+    fn own_load(&self, loads: &Loads, link: SharedLink) -> f64 {
+        match link {
             SharedLink::Link(id) => loads.get(&id).map_or(0.0, |l| l.kb_per_s),
-            SharedLink::Uplink(no) => {
-                loads.iter().filter(|(id, _)| self.rack_of(**id) == Some(no)).map(|(_, l)| l.kb_per_s).sum()
+            SharedLink::Uplink(rack) => {
+                let in_rack = loads.iter().filter(|(id, _)| self.rack_of(**id) == Some(rack));
+                in_rack.map(|(_, l)| l.kb_per_s).sum()
             }
         }
     }
 
-    /// Streams at a server: the last report, moved on by this front's own changes since. One not yet heard
-    /// from counts as average: its own streams, and of others as many as elsewhere.
-    fn streams(&self, loads: &Loads, server: ServerId, most: f64) -> f64 {
+    /// Streams at a server: the last report, adjusted by the change of this front's own streams since. Without a
+    /// report, this front's own streams and as many others as on an average server.
+    fn stream_count(&self, loads: &Loads, server: ServerId, max_streams: f64) -> f64 {
         let own = loads.get(&server).map_or(0.0, |l| l.streams);
         let s = &self.fleet.servers[&server];
         match s.streams {
-            _ if s.busy_until > self.last_call_at => most,
-            Some(seen) => (seen.value + own - seen.own_load).max(own),
-            None => own + self.unheard(server, self.foreign_load.streams),
+            _ if s.busy_until > self.last_call_at => max_streams,
+            Some(last) => (last.value + own - last.own_load).max(own),
+            None => own + self.unmeasured_foreign_load(server, self.foreign_load.streams),
         }
     }
 
-    /// Use of a server's link, likewise.
+    /// Use of a server's link, estimated in the same way.
     fn link_use(&self, loads: &Loads, server: ServerId) -> f64 {
         let own = loads.get(&server).map_or(0.0, |l| l.kb_per_s);
-        let size = self.kb(SharedLink::Link(server));
+        let capacity = self.capacity(SharedLink::Link(server));
+        let foreign = &self.foreign_load;
         match self.fresh(self.fleet.servers[&server].link_use) {
-            Some(seen) => moved_on(seen, own, size) + self.foreign_load.surge_kb_per_s / size,
+            Some(last) => extrapolate(last, own, capacity) + foreign.surge_kb_per_s / capacity,
             None => {
-                own / size
-                    + self.unheard(
-                        server,
-                        self.foreign_load.link_use.unwrap_or(self.foreign_load.kb_per_s / size),
-                    )
+                let average = foreign.link_use.unwrap_or(foreign.kb_per_s / capacity);
+                own / capacity + self.unmeasured_foreign_load(server, average)
             }
         }
     }
 
-    /// What the other fronts carry on a server not heard from: the average. A server that the list tells to
-    /// be in its warm-up carries only what is sent to it: a building that comes back would look as full as
-    /// those that took its load. It can fill up unseen where all fronts send there before any report.
-    fn unheard(&self, server: ServerId, average: f64) -> f64 {
-        let started = self.fleet.servers[&server].entry.started_at;
-        let cold = started
+    /// Load of the other fronts on a server without a measurement: the average. A server that has just started
+    /// by the list counts as empty: a zone that comes back would otherwise look as full as those that took over
+    /// its load. It can fill up unnoticed if all fronts send there before its first report.
+    fn unmeasured_foreign_load(&self, server: ServerId, average: f64) -> f64 {
+        let started_at = self.fleet.servers[&server].entry.started_at;
+        let cold = started_at
             .zip(self.settings.cold_start)
             .is_some_and(|(t, cold)| self.last_call_at < t + cold.duration);
         if cold {
@@ -572,248 +627,260 @@
         }
     }
 
-    /// What others carry on a server on average: as on those heard from or, while nothing is heard, what they
-    /// carry if they do as this front does. They are also taken to have added to each server, unseen as yet,
-    /// what this front has added to all of late: a crowd comes to all fronts, and all follow the same news.
-    /// Where a crowd comes to this front alone, it keeps clear of more servers than it need.
-    fn take_stock(&mut self, hand: &SessionTable, loads: &Loads, now: Ms) {
+    /// Estimates the load of the other fronts on an average server: that on the measured servers or, without any,
+    /// the load if each front carries as much as this one. The others are also assumed to have added to each
+    /// server, not measured yet, what this front has added to all servers recently: in a crowd of requests all
+    /// fronts get their part, and all follow the same reports. If the crowd comes to this front alone, it avoids
+    /// more servers than necessary.
+    fn estimate_foreign_load(&mut self, table: &SessionTable, loads: &Loads, now: Ms) {
         let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready).count();
-        let alike = self.settings.front_count.saturating_sub(1) as f64 / ready.max(1) as f64;
-        let total = |of: fn(&Load) -> f64| loads.values().map(of).sum::<f64>() * alike;
-        let (streams, kb) = (total(|l| l.streams), total(|l| l.kb_per_s));
-        let grown = hand.growth_since(&self.settings, |_| true, now - self.settings.measurement_delay);
-        let heard =
-            self.fleet.servers.values().filter_map(|s| s.streams.map(|seen| seen.value - seen.own_load));
-        let streams = mean(heard).unwrap_or(streams);
-        let link = mean(self.fleet.servers.values().filter_map(|s| {
-            let seen = self.fresh(s.link_use)?;
-            Some((seen.value - seen.own_load / self.kb(SharedLink::Link(s.entry.id))).max(0.0))
+        let others_per_server = self.settings.front_count.saturating_sub(1) as f64 / ready.max(1) as f64;
+        let total = |of: fn(&Load) -> f64| loads.values().map(of).sum::<f64>() * others_per_server;
+        let (streams, kb_per_s) = (total(|l| l.streams), total(|l| l.kb_per_s));
+        let growth = table.growth_since(&self.settings, |_| true, now - self.settings.measurement_delay);
+        let measured =
+            self.fleet.servers.values().filter_map(|s| s.streams.map(|last| last.value - last.own_load));
+        let streams = mean(measured).unwrap_or(streams);
+        let link_use = mean(self.fleet.servers.values().filter_map(|s| {
+            let last = self.fresh(s.link_use)?;
+            Some((last.value - last.own_load / self.capacity(SharedLink::Link(s.entry.id))).max(0.0))
         }));
-        self.foreign_load =
-            ForeignLoad { streams, kb_per_s: kb, link_use: link, surge_kb_per_s: grown.max(0.0) * alike };
+        let surge_kb_per_s = growth.max(0.0) * others_per_server;
+        self.foreign_load = ForeignLoad { streams, kb_per_s, link_use, surge_kb_per_s };
     }
 
-    /// Use of a rack's uplink: what was heard, else the sum of its links' loads over its told size.
+    /// Use of a rack's uplink: the last measurement, else the mean of the measured uplinks, else the sum of the
+    /// loads of the rack's links over the uplink's stated capacity.
     fn uplink_use(&self, loads: &Loads, rack: RackId) -> f64 {
-        let line = SharedLink::Uplink(rack);
-        // A rack that was heard full and left alone is not heard of again: like a link's, its news ages.
-        if let Some(seen) = self.fresh(self.fleet.racks.get(&rack).and_then(|r| r.uplink_use)) {
-            return moved_on(seen, self.own_kb(loads, line), self.kb(line));
-        }
-        // Where uplinks are heard of, one not heard from counts as average too.
-        let heard = self.fleet.racks.values().filter_map(|r| self.fresh(r.uplink_use));
-        mean(heard.map(|seen| seen.value)).unwrap_or_else(|| {
+        let uplink = SharedLink::Uplink(rack);
+        // Measurements expire, as a full rack that is avoided is not measured again.
+        if let Some(last) = self.fresh(self.fleet.racks.get(&rack).and_then(|r| r.uplink_use)) {
+            return extrapolate(last, self.own_load(loads, uplink), self.capacity(uplink));
+        }
+        let measured = self.fleet.racks.values().filter_map(|r| self.fresh(r.uplink_use));
+        mean(measured.map(|last| last.value)).unwrap_or_else(|| {
             let servers = self.fleet.servers.values().filter(|s| s.entry.state != ServerState::Gone);
-            let here =
+            let in_rack =
                 servers.filter(|s| self.settings.rack_of_cell(s.entry.cell) == rack).map(|s| s.entry.id);
-            here.map(|id| self.link_use(loads, id) * self.kb(SharedLink::Link(id))).sum::<f64>()
-                / self.kb(line)
+            let load = |id| self.link_use(loads, id) * self.capacity(SharedLink::Link(id));
+            in_rack.map(load).sum::<f64>() / self.capacity(uplink)
         })
     }
 
-    /// Use of the fuller of link and uplink when `kb` more is asked of both.
-    fn fuller_with(&self, loads: &Loads, server: ServerId, kb: f64) -> f64 {
+    /// The higher use of a server's link and its uplink after `kb_per_s` more on both.
+    fn max_use_with(&self, loads: &Loads, server: ServerId, kb_per_s: f64) -> f64 {
         let rack = self.settings.rack_of_cell(self.fleet.servers[&server].entry.cell);
-        let link = self.link_use(loads, server) + kb / self.kb(SharedLink::Link(server));
-        link.max(self.uplink_use(loads, rack) + kb / self.kb(SharedLink::Uplink(rack)))
-    }
-
-    /// Whether one more session at its lowest rung fits a server's link and uplink once all there stand at
-    /// theirs. Others are taken to stand as high as this front's own do, wherever they play: on one line it
-    /// has a session or two, or none. Guards against a crowd in which everyone gets too little to go on
-    /// watching: there, a busy reply does less harm than one more session. It can turn viewers away for
-    /// nothing while a shortage that was heard is already over; a guess at what was not heard turns nobody
-    /// away.
-    fn has_room(&self, hand: &SessionTable, loads: &Loads, server: ServerId, new: &Session) -> bool {
-        let floor = |s: &Session| {
+        let link = self.link_use(loads, server) + kb_per_s / self.capacity(SharedLink::Link(server));
+        link.max(self.uplink_use(loads, rack) + kb_per_s / self.capacity(SharedLink::Uplink(rack)))
+    }
+
+    /// Whether one more session at its lowest rung fits a server's link and uplink with all sessions there at
+    /// their lowest rungs. How far the other fronts' sessions can step down is taken from all sessions of this
+    /// front, as it has few on any one link. Guards against a crowd in which every viewer gets too little to go
+    /// on watching: a busy reply does less harm than one more session. It can turn viewers away for nothing while
+    /// a measured shortage is already over. A link without a measurement turns nobody away.
+    fn has_room(&self, table: &SessionTable, loads: &Loads, server: ServerId, new: &Session) -> bool {
+        let lowest_rate = |s: &Session| {
             s.rate(&self.settings, self.settings.service_groups[s.group.0 as usize].lowest_rung)
         };
-        let height = self.lowest(hand, |s| s.server.is_some());
+        let lowest_share = self.lowest_rung_load_share(table, |s| s.server.is_some());
         let r = &self.fleet.servers[&server];
         let rack = self.settings.rack_of_cell(r.entry.cell);
         let uplink = self.fleet.racks.get(&rack).and_then(|r| r.uplink_use);
-        let full = |line, use_: f64| use_ * height + floor(new) / self.kb(line) > MARK;
+        let full =
+            |link, use_: f64| use_ * lowest_share + lowest_rate(new) / self.capacity(link) > TARGET_USE;
         r.busy_until <= self.last_call_at
             && !(self.fresh(r.link_use).is_some()
                 && full(SharedLink::Link(server), self.link_use(loads, server)))
             && !(self.fresh(uplink).is_some() && full(SharedLink::Uplink(rack), self.uplink_use(loads, rack)))
     }
 
-    /// What is left of the load of these sessions once each stands at its lowest rung, as a share of it; a
-    /// front that has none knows nothing of heights and turns nobody away for them.
-    fn lowest(&self, hand: &SessionTable, of: impl Fn(&Session) -> bool) -> f64 {
-        let floor = |s: &Session| {
+    /// Load of the selected sessions at their lowest rungs, as a share of their current load. Without sessions
+    /// it is 0, so that a front without any turns nobody away.
+    fn lowest_rung_load_share(&self, table: &SessionTable, selected: impl Fn(&Session) -> bool) -> f64 {
+        let lowest_rate = |s: &Session| {
             s.rate(&self.settings, self.settings.service_groups[s.group.0 as usize].lowest_rung)
         };
-        let of = hand.sessions.values().filter(|s| of(s));
-        let (least, now) =
-            of.fold((0.0, 0.0), |(a, b), s| (a + floor(s), b + s.rate(&self.settings, s.rung)));
-        least / now.max(1e-3)
+        let sessions = table.sessions.values().filter(|s| selected(s));
+        let (lowest, current) =
+            sessions.fold((0.0, 0.0), |(a, b), s| (a + lowest_rate(s), b + s.rate(&self.settings, s.rung)));
+        lowest / current.max(1e-3)
     }
 
-    fn on_line(&self, s: &Session, line: SharedLink) -> bool {
-        s.server.is_some_and(|at| match line {
-            SharedLink::Link(id) => at == id,
-            SharedLink::Uplink(no) => self.rack_of(at) == Some(no),
+    fn uses_link(&self, s: &Session, link: SharedLink) -> bool {
+        s.server.is_some_and(|server| match link {
+            SharedLink::Link(id) => server == id,
+            SharedLink::Uplink(rack) => self.rack_of(server) == Some(rack),
         })
     }
 
     // ---- rungs ----
 
-    /// A new session's rung: the top, one lower for each tenth of use above the mark. Use is counted with the
-    /// session at that rung: one at the top may be a good part of a link.
-    fn rung_for(&self, loads: &Loads, server: ServerId, s: &Session) -> u8 {
-        let floor = self.settings.service_groups[s.group.0 as usize].lowest_rung;
+    /// The rung of a new session: its highest, and one lower for each `START_USE_PER_RUNG` of use above
+    /// `START_USE`. Use includes the session at that rung, as one at a high rung may be a good part of a link.
+    fn start_rung(&self, loads: &Loads, server: ServerId, s: &Session) -> u8 {
+        let lowest = self.settings.service_groups[s.group.0 as usize].lowest_rung;
         let fits = |rung: &u8| {
-            let kb = s.rate(&self.settings, *rung);
-            let mark = START_MARK - (kb / self.kb(SharedLink::Link(server))).min(COARSE);
-            let lower = ((self.fuller_with(loads, server, kb) - mark) / STEP).ceil().max(0.0);
-            (s.highest_rung - *rung) as f64 >= lower
+            let kb_per_s = s.rate(&self.settings, *rung);
+            let reduction = (kb_per_s / self.capacity(SharedLink::Link(server))).min(MAX_START_USE_REDUCTION);
+            let limit = START_USE - reduction;
+            let steps = (self.max_use_with(loads, server, kb_per_s) - limit) / START_USE_PER_RUNG;
+            (s.highest_rung - *rung) as f64 >= steps.ceil().max(0.0)
         };
-        (floor..=s.highest_rung).rev().find(fits).unwrap_or(floor)
+        (lowest..=s.highest_rung).rev().find(fits).unwrap_or(lowest)
     }
 
-    /// Steps the newest of the sessions on a line down a rung each until their load is at most `fits`.
-    fn shed(&mut self, hand: &mut SessionTable, line: SharedLink, fits: f64, now: Ms) -> bool {
-        let terms = &self.settings;
-        let mut load: f64 =
-            hand.sessions.values().filter(|s| self.on_line(s, line)).map(|s| s.rate(terms, s.rung)).sum();
-        let on_it = hand.sessions.iter().filter(|(_, s)| s.playing && self.on_line(s, line));
-        let mut newest: Vec<(Ms, SessionId)> = on_it.map(|(id, s)| (s.arrived_at, *id)).collect();
+    /// Steps down the newest of this front's sessions on a link until their load is at most `limit`, in kB a
+    /// second. Returns whether any rung changed.
+    fn step_down(&mut self, table: &mut SessionTable, link: SharedLink, limit: f64, now: Ms) -> bool {
+        let settings = &self.settings;
+        let on_link = table.sessions.values().filter(|s| self.uses_link(s, link));
+        let mut load: f64 = on_link.map(|s| s.rate(settings, s.rung)).sum();
+        let playing = table.sessions.iter().filter(|(_, s)| s.playing && self.uses_link(s, link));
+        let mut newest: Vec<(Ms, SessionId)> = playing.map(|(id, s)| (s.arrived_at, *id)).collect();
         newest.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
-        let before = self.rung_changes.len();
+        let changes_before = self.rung_changes.len();
         for (_, id) in newest {
-            let s = hand.sessions.get_mut(&id).expect("a session that was just listed");
-            if load <= fits {
+            let s = table.sessions.get_mut(&id).expect("the session was just listed");
+            if load <= limit {
                 break;
             }
-            let floor = terms.service_groups[s.group.0 as usize].lowest_rung;
-            if now - s.rung_set_at >= HOLD * terms.measurement_delay && s.rung > floor {
-                let less = |rung: u8| s.rate(terms, s.rung) - s.rate(terms, rung);
-                // One rung, but for changes that cost more than a rung does in the time that news counts.
-                let costs = |rung: u8| {
-                    let lost = terms.rung_utility[s.rung as usize] - terms.rung_utility[rung as usize];
-                    (terms.rung_change_cost + STALE * lost) / less(rung)
+            let lowest = settings.service_groups[s.group.0 as usize].lowest_rung;
+            if now - s.rung_set_at >= RUNG_HOLD_DELAYS * settings.measurement_delay && s.rung > lowest {
+                let saved = |rung: u8| s.rate(settings, s.rung) - s.rate(settings, rung);
+                // One rung, unless a change costs more than a rung's utility within MEASUREMENT_LIFETIME.
+                let cost = |rung: u8| {
+                    let lost = settings.rung_utility[s.rung as usize] - settings.rung_utility[rung as usize];
+                    (settings.rung_change_cost + MEASUREMENT_LIFETIME * lost) / saved(rung)
                 };
-                let to = (floor..s.rung).rev().min_by(|a, b| costs(*a).total_cmp(&costs(*b)));
-                let to = to.expect("a rung over the floor");
-                let less = less(to);
-                // A rung may be far more than this front's part of the excess: the last one goes by chance,
-                // or all fronts together would shed several times what is too much.
-                if load - fits < less * self.rng.f64() {
+                let rung = (lowest..s.rung).rev().min_by(|a, b| cost(*a).total_cmp(&cost(*b)));
+                let rung = rung.expect("there is a rung below");
+                let saved = saved(rung);
+                // A rung may be far more than this front's part of the excess. The last step is random, or all
+                // fronts together would shed several times the excess.
+                if load - limit < saved * self.rng.f64() {
                     break;
                 }
-                load -= less;
-                (s.previous_kb_per_s, s.rate_changed_at) = (s.rate(terms, s.rung), now);
-                (s.rung, s.rung_set_at) = (to, now);
+                load -= saved;
+                (s.previous_kb_per_s, s.rate_changed_at) = (s.rate(settings, s.rung), now);
+                (s.rung, s.rung_set_at) = (rung, now);
                 self.rung_changes.push((id, s.rung));
             }
         }
-        self.rung_changes.len() > before
+        self.rung_changes.len() > changes_before
     }
 
-    /// Steps sessions on a link up a rung each while use stays under the mark at the higher rate, the most
-    /// utility for its rate first. As in `shed`, each front takes its own part of the room, in the share that
-    /// it has of the use, and the last rung goes by chance: fronts that hear the same news fill the room
-    /// once, however many they are. Where they carry very unequal shares the room fills more slowly. What
-    /// is left of the part stands until the next news, for sessions that still are within their hold.
-    fn fill(&mut self, hand: &mut SessionTable, server: ServerId, gain: f64, now: Ms) {
-        let loads = hand.loads(&self.settings);
-        self.take_stock(hand, &loads, now);
-        let room =
-            |use_: f64, line| (MARK - use_) * (self.own_kb(&loads, line) / use_.max(1e-3)).min(self.kb(line));
+    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is the share
+    /// that this front has of the use, and as in `step_down` the last step is random: so fronts with the same
+    /// measurement fill the spare capacity once, however many they are. It fills more slowly where their shares
+    /// differ much. What is left of the part stays until the next measurement, for sessions that may not change
+    /// their rung yet.
+    fn use_spare_capacity(&mut self, table: &mut SessionTable, server: ServerId, gain: f64, now: Ms) {
+        let loads = table.loads(&self.settings);
+        self.estimate_foreign_load(table, &loads, now);
+        let own_part = |use_: f64, link| {
+            (TARGET_USE - use_) * (self.own_load(&loads, link) / use_.max(1e-3)).min(self.capacity(link))
+        };
         let rack = self.settings.rack_of_cell(self.fleet.servers[&server].entry.cell);
-        let part = room(self.link_use(&loads, server), SharedLink::Link(server))
-            .min(room(self.uplink_use(&loads, rack), SharedLink::Uplink(rack)));
-        self.fleet.servers.get_mut(&server).expect("heard").spare_kb_per_s = part * gain;
-        self.step_up(hand, server, now);
-    }
-
-    /// Steps sessions up a rung each while this front's part of the room lasts.
-    fn step_up(&mut self, hand: &mut SessionTable, server: ServerId, now: Ms) {
-        let mut loads = hand.loads(&self.settings);
-        let terms = &self.settings;
-        let mut up: Vec<(f64, SessionId)> = Vec::new();
-        for (id, s) in &hand.sessions {
+        let part = own_part(self.link_use(&loads, server), SharedLink::Link(server))
+            .min(own_part(self.uplink_use(&loads, rack), SharedLink::Uplink(rack)));
+        self.fleet.servers.get_mut(&server).expect("measured servers are known").spare_kb_per_s = part * gain;
+        self.step_up(table, server, now);
+    }
+
+    /// Steps sessions up by one rung each while this front's part of the spare capacity lasts, those with the
+    /// most utility for their rate first.
+    fn step_up(&mut self, table: &mut SessionTable, server: ServerId, now: Ms) {
+        let mut loads = table.loads(&self.settings);
+        let settings = &self.settings;
+        let mut candidates: Vec<(f64, SessionId)> = Vec::new();
+        for (id, s) in &table.sessions {
             if s.playing && s.server == Some(server) && s.rung < s.highest_rung {
-                let more = terms.rung_utility[s.rung as usize + 1] - terms.rung_utility[s.rung as usize];
-                // What has stood for as long as the change takes to be earned back is likely to stand on.
-                let earns_back = terms.rung_change_cost / more.max(1e-3);
-                if now - s.rung_set_at < (HOLD * terms.measurement_delay).max(earns_back) {
+                let gain =
+                    settings.rung_utility[s.rung as usize + 1] - settings.rung_utility[s.rung as usize];
+                // A session that has kept its rung for as long as the change takes to pay off is likely to stay
+                // on for as long again.
+                let payback = settings.rung_change_cost / gain.max(1e-3);
+                if now - s.rung_set_at < (RUNG_HOLD_DELAYS * settings.measurement_delay).max(payback) {
                     continue;
                 }
-                let kb = s.rate(terms, s.rung + 1) - s.rate(terms, s.rung);
-                up.push((terms.service_groups[s.group.0 as usize].utility * more / kb, *id));
+                let kb_per_s = s.rate(settings, s.rung + 1) - s.rate(settings, s.rung);
+                let utility = settings.service_groups[s.group.0 as usize].utility;
+                candidates.push((utility * gain / kb_per_s, *id));
             }
         }
-        up.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        for (_, id) in up {
-            let s = hand.sessions.get_mut(&id).expect("a session that was just listed");
-            let kb = s.rate(&self.settings, s.rung + 1) - s.rate(&self.settings, s.rung);
-            let part = self.fleet.servers[&server].spare_kb_per_s;
-            let fits = self.fuller_with(&loads, server, kb) < MARK && part >= kb * self.rng.f64();
-            self.fleet.servers.get_mut(&server).expect("listed").spare_kb_per_s =
-                if fits { part - kb } else { 0.0 };
+        candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        for (_, id) in candidates {
+            let s = table.sessions.get_mut(&id).expect("the session was just listed");
+            let kb_per_s = s.rate(&self.settings, s.rung + 1) - s.rate(&self.settings, s.rung);
+            let spare = self.fleet.servers[&server].spare_kb_per_s;
+            let fits = self.max_use_with(&loads, server, kb_per_s) < TARGET_USE
+                && spare >= kb_per_s * self.rng.f64();
+            self.fleet.servers.get_mut(&server).expect("the server was just read").spare_kb_per_s =
+                if fits { spare - kb_per_s } else { 0.0 };
             if !fits {
                 break;
             }
             (s.previous_kb_per_s, s.rate_changed_at) = (s.rate(&self.settings, s.rung), now);
             (s.rung, s.rung_set_at) = (s.rung + 1, now);
-            loads.entry(server).or_default().kb_per_s += kb;
+            loads.entry(server).or_default().kb_per_s += kb_per_s;
             self.rung_changes.push((id, s.rung));
         }
     }
 
-    // ---- the second call: after an outcome ----
+    // ---- the second question: what follows from an outcome ----
 
+    /// Records how a SETUP or a session ended, and decides where the session goes next.
     pub fn after_outcome(
         &mut self,
-        hand: &mut SessionTable,
+        table: &mut SessionTable,
         id: SessionId,
-        ending: SetupOutcome,
+        outcome: SetupOutcome,
         now: Ms,
     ) -> Placement {
-        let Some(s) = hand.sessions.get_mut(&id) else { return Placement::NoAction };
+        let Some(s) = table.sessions.get_mut(&id) else { return Placement::NoAction };
         let Some(server) = s.server.take() else { return Placement::NoAction };
         if s.playing || s.answered {
             let played = s.playing;
-            hand.sessions.remove(&id);
-            if played && ending == SetupOutcome::Broken {
-                self.judge(server, Some(ending), now);
+            table.sessions.remove(&id);
+            if played && outcome == SetupOutcome::Broken {
+                self.update_health(server, Some(outcome), now);
             }
             return Placement::NoAction;
         }
-        if !ending.never_ran() && s.first_uncertain_setup.is_none() {
+        if !outcome.never_ran() && s.first_uncertain_setup.is_none() {
             s.first_uncertain_setup = Some((server, s.setup_sent_at));
         }
         s.tried_servers.push(server);
-        // An error is the server's once another one takes the session, or where no other may be asked. Else
-        // it is the session's: one that no server can use would set aside each that is asked. Guards against
-        // viewers that ask for what is not there. Where all holders of a title err alike, none of them is set
-        // aside.
-        if ending == SetupOutcome::Errored {
+        // An error counts against the server once another one takes the session, or if no other may be tried.
+        // Else it counts against the session: one that no server can use would set aside each server that it
+        // tries. Guards against viewers that request what does not exist. Where all holders of a title answer
+        // with errors, none of them is set aside.
+        if outcome == SetupOutcome::Errored {
             s.errored_servers.push(server);
         } else {
-            self.judge(server, Some(ending), now);
+            self.update_health(server, Some(outcome), now);
         }
-        let alone = s.errored_servers == [server];
-        if ending == SetupOutcome::BusyReplied {
+        let only_error = s.errored_servers == [server];
+        if outcome == SetupOutcome::BusyReplied {
             // Else the server would stay cheapest and draw every retry, whether its link, its streams or its
-            // queue is full. Where it has room again at once, it is left out for a moment for nothing.
-            self.fleet.servers.get_mut(&server).expect("sent there").busy_until = now + BUSY;
+            // queue is full. If it has room again at once, it is avoided for BUSY_DURATION for nothing.
+            self.fleet.servers.get_mut(&server).expect("a SETUP was sent to it").busy_until =
+                now + BUSY_DURATION;
         }
-        let place = self.place(hand, id, now);
-        if alone && matches!(place, Placement::BusyReply { .. } | Placement::TornDown) {
-            self.judge(server, Some(SetupOutcome::Errored), now);
+        let placement = self.place(table, id, now);
+        if only_error && matches!(placement, Placement::BusyReply { .. } | Placement::TornDown) {
+            self.update_health(server, Some(SetupOutcome::Errored), now);
         }
-        place
+        placement
     }
 
-    /// A server is judged by its failures in a row. `None` is a SETUP that led to play.
-    fn judge(&mut self, server: ServerId, ending: Option<SetupOutcome>, now: Ms) {
-        let tells = self.tells();
+    /// Counts a server's consecutive failures and sets it aside for them. `None` stands for a SETUP that led to
+    /// play, or another sign that the server works.
+    fn update_health(&mut self, server: ServerId, outcome: Option<SetupOutcome>, now: Ms) {
+        let with_peers = self.exchanges_peer_reports();
         let Some(r) = self.fleet.servers.get_mut(&server) else { return };
-        match ending {
+        match outcome {
             None => {
                 if r.failures > 0 {
                     self.log_lines.push(format!("server back server={} fails={}", server.0, r.failures));
@@ -829,24 +896,24 @@
                 | SetupOutcome::Withdrawn
                 | SetupOutcome::NeverSent,
             ) => {}
-            Some(how) => {
+            Some(failure) => {
                 r.failures += 1;
                 r.last_failure_at = now;
-                if matches!(how, SetupOutcome::NoConnection | SetupOutcome::Broken) {
-                    // Its process may be gone: it is cold when it answers again, whatever the list says.
+                if matches!(failure, SetupOutcome::NoConnection | SetupOutcome::Broken) {
+                    // Its process may be gone, and is then cold when it answers again, whatever the list says.
                     (r.died_at, r.recovered_at) = (Some(now), None);
                 }
-                let first = if tells { ASIDE_TOLD } else { ASIDE };
-                r.excluded_until = now + (first * 2f64.powi(r.failures.min(10) as i32 - 1)).min(ASIDE_MOST);
+                let base = if with_peers { EXCLUSION_BASE_WITH_PEERS } else { EXCLUSION_BASE };
+                r.excluded_until = now + (base * 2f64.powi(r.failures.min(10) as i32 - 1)).min(EXCLUSION_MAX);
                 self.log_lines
-                    .push(format!("server aside server={} fails={} last={how:?}", server.0, r.failures));
+                    .push(format!("server aside server={} fails={} last={failure:?}", server.0, r.failures));
             }
         }
     }
 
-    /// The process of a server is one that was there at that time: what was taken for its death since then
-    /// was none, and it is as warm as before. Guards against a zone that was only cut off for seconds, or
-    /// connections reset, leaving each server alone for its whole warm-up in each front that noticed.
+    /// Records that the server's current process already existed at `since`. If it was believed dead after
+    /// that, it was not, and it is as warm as before. Guards against a zone that was cut off for seconds, or
+    /// whose connections were reset: each front that noticed would leave its servers alone for a whole warm-up.
     pub fn confirm_alive(&mut self, server: ServerId, since: Ms) {
         let Some(r) = self.fleet.servers.get_mut(&server) else { return };
         if r.died_at.is_some_and(|died| since < died) {
@@ -855,53 +922,58 @@
         }
     }
 
-    /// How long until a SETUP may go to this server, if it may be cold; `None` if it may go now. All fronts
-    /// share its budget: where that leaves each one SETUP or more in a span, that is its share; else the
-    /// server is left alone until warm, as no front can know what others send. Only the warmth at the start
-    /// is certain. A front that starts has spent its share; shares are further apart than a span, as a SETUP
-    /// may wait for its connection. Harms where much of a fleet is cold at once: the rest must carry all.
-    fn cold_wait(&self, server: &ServerId, now: Ms) -> Option<Ms> {
+    /// How long until a SETUP may go to a server that may be cold; `None` if it may go now. All fronts share
+    /// the server's budget equally if that gives each at least one SETUP in a window. Else the server is left
+    /// alone until it is warm, as no front knows what the others send. The budget counts on the warmth at the
+    /// start only, as later warmth is not certain. A front that has just started counts its share as spent. Shares
+    /// are spaced by the window plus the connect time-out, as a SETUP may wait for its connection. It does harm
+    /// where much of a fleet is cold at once: the other servers must carry all.
+    fn cold_start_wait(&self, server: &ServerId, now: Ms) -> Option<Ms> {
         let cold = self.settings.cold_start?;
         let r = &self.fleet.servers[server];
-        // What was seen to die comes back cold; without probes only the list tells when.
-        let back = r.recovered_at.or(r.died_at.filter(|_| !self.settings.probes_allowed));
-        let witnessed = r.died_at.map(|_| back.map_or(Ms::INFINITY, |t| t + cold.duration));
-        let told = r.entry.started_at.map(|t| t + cold.duration);
-        let warm_at = witnessed.into_iter().chain(told).fold(now, Ms::max);
+        // A server that died comes back cold. Without probes, only the list shows when.
+        let recovered_at = r.recovered_at.or(r.died_at.filter(|_| !self.settings.probes_allowed));
+        let warm_after_death = r.died_at.map(|_| recovered_at.map_or(Ms::INFINITY, |t| t + cold.duration));
+        let warm_after_start = r.entry.started_at.map(|t| t + cold.duration);
+        let warm_at = warm_after_death.into_iter().chain(warm_after_start).fold(now, Ms::max);
         if warm_at <= now {
             return None;
         }
-        let most = self.settings.max_streams(&r.entry);
-        let all = cold.rate_multiple * most / cold.duration * cold.initial_share * cold.window * COLD_CERTAIN;
-        let share = (all / self.settings.front_count.max(1) as f64).floor();
+        let max_streams = self.settings.max_streams(&r.entry);
+        let budget = cold.rate_multiple * max_streams / cold.duration
+            * cold.initial_share
+            * cold.window
+            * COLD_BUDGET_SHARE;
+        let share = (budget / self.settings.front_count.max(1) as f64).floor();
         if share < 1.0 {
             return Some(warm_at - now);
         }
-        let span = cold.window + cold.connect_timeout;
-        let recent = r.recent_setups.iter().filter(|t| **t > now - span);
-        let mut wait: Ms = (self.started_at + span - now).max(0.0);
+        let window = cold.window + cold.connect_timeout;
+        let recent = r.recent_setups.iter().filter(|t| **t > now - window);
+        let mut wait: Ms = (self.started_at + window - now).max(0.0);
         if recent.clone().count() as f64 >= share {
-            wait = wait.max(recent.fold(Ms::INFINITY, |a, b| a.min(*b)) + span - now);
+            wait = wait.max(recent.fold(Ms::INFINITY, |a, b| a.min(*b)) + window - now);
         }
         (wait > 0.0).then_some(wait)
     }
 
-    // ---- the third call: how long to wait ----
+    // ---- the third question: what is due ----
 
-    pub fn due_actions(&mut self, hand: &mut SessionTable, now: Ms) -> DueActions {
+    /// Returns everything that is due now, and when to ask again.
+    pub fn due_actions(&mut self, table: &mut SessionTable, now: Ms) -> DueActions {
         self.last_call_at = now;
-        let roomy = self.fleet.servers.values().filter(|s| s.spare_kb_per_s > 0.0).map(|s| s.entry.id);
-        for id in roomy.collect::<Vec<_>>() {
-            self.step_up(hand, id, now);
+        let with_spare = self.fleet.servers.values().filter(|s| s.spare_kb_per_s > 0.0).map(|s| s.entry.id);
+        for id in with_spare.collect::<Vec<_>>() {
+            self.step_up(table, id, now);
         }
-        let mut due = DueActions { next_call_at: now + LOOK, ..DueActions::default() };
+        let mut due = DueActions { next_call_at: now + REVIEW_INTERVAL, ..DueActions::default() };
         due.probes = std::mem::take(&mut self.pending_probes);
         let servers = &self.fleet.servers;
-        let leaves = |id| servers.get(&id).is_none_or(|r| r.entry.state != ServerState::Ready);
-        for (id, s) in &mut hand.sessions {
+        let not_ready = |id| servers.get(&id).is_none_or(|r| r.entry.state != ServerState::Ready);
+        for (id, s) in &mut table.sessions {
             match s.held_until {
-                // What a server answers that takes nothing new any more is not waited for.
-                Some(t) if t <= now || s.awaited_probe.is_some_and(leaves) => {
+                // A server that no longer takes new sessions is not waited for.
+                Some(t) if t <= now || s.awaited_probe.is_some_and(not_ready) => {
                     (s.held_until, s.awaited_probe) = (None, None);
                     due.sessions_to_place.push(*id);
                 }
@@ -909,61 +981,62 @@
                 None => {}
             }
         }
-        let loads = hand.loads(&self.settings);
+        let loads = table.loads(&self.settings);
         let listed = |s: &&mut Server| s.entry.state != ServerState::Gone;
-        let tells = self.tells();
+        let with_peers = self.exchanges_peer_reports();
         for s in self.fleet.servers.values_mut().filter(listed).filter(|_| self.settings.probes_allowed) {
-            // A probe, not a viewer's session, tries a server that was set aside.
+            // A server that was set aside is tried by a probe and not by a viewer's session.
             if s.failures > 0 {
                 if s.entry.state == ServerState::Ready && s.excluded_until <= now {
-                    s.excluded_until = now + ASIDE;
+                    s.excluded_until = now + EXCLUSION_BASE;
                     due.probes.push(s.entry.id);
                 }
                 continue;
             }
-            let asks = self.settings.reports_by_probe
+            let may_probe = self.settings.reports_by_probe
                 && self.settings.probes_report_link()
                 && self.probe_debt <= 0.0;
-            let Some(own) = loads.get(&s.entry.id).filter(|_| asks) else { continue };
-            let next = now + PROBE_PACE / own.streams;
-            let known = s.link_use.is_some_and(|seen| now - seen.measured_at < PROBE_FIRST);
-            let from = if tells { PROBE_FIRST } else { 0.0 };
-            let first = if known { next } else { now + from + PROBE_FIRST * self.rng.f64() };
-            // What another front told in the meantime is as good as an answer of its own.
-            let told = s.link_use.map_or(now, |seen| seen.measured_at + PROBE_PACE / own.streams);
+            let Some(own) = loads.get(&s.entry.id).filter(|_| may_probe) else { continue };
+            let next = now + PROBE_INTERVAL / own.streams;
+            let just_measured = s.link_use.is_some_and(|last| now - last.measured_at < FIRST_PROBE_WITHIN);
+            let min_wait = if with_peers { FIRST_PROBE_WITHIN } else { 0.0 };
+            let first =
+                if just_measured { next } else { now + min_wait + FIRST_PROBE_WITHIN * self.rng.f64() };
+            // A report of another front serves as well as an answer to this one.
+            let due_by_age = s.link_use.map_or(now, |last| last.measured_at + PROBE_INTERVAL / own.streams);
             if *s.next_probe_at.get_or_insert(first) <= now {
-                s.next_probe_at = Some(if told <= now { next } else { told });
-                if told <= now {
+                s.next_probe_at = Some(if due_by_age <= now { next } else { due_by_age });
+                if due_by_age <= now {
                     due.probes.push(s.entry.id);
                 }
             }
         }
-        self.tell(&mut due, now);
-        self.probe_debt += due.probes.len() as f64 * self.settings.probe_cost / PROBE_SHARE;
-        self.ask_list(&mut due, now);
+        self.report_to_peers(&mut due, now);
+        self.probe_debt += due.probes.len() as f64 * self.settings.probe_cost / PROBE_COST_SHARE;
+        self.schedule_list_call(&mut due, now);
         due.rung_changes = std::mem::take(&mut self.rung_changes);
         due.log_lines = std::mem::take(&mut self.log_lines);
         due
     }
 }
 
-/// A figure heard, moved on by what this front's own load has changed since. Once this front has shed its
-/// part of what was over full, the others are taken to have shed theirs.
-fn moved_on(seen: Measurement, own: f64, size: f64) -> f64 {
-    let now = (seen.value + (own - seen.own_load) / size).max(0.0);
-    if seen.value > FULL && own < seen.own_load {
-        now.min(FULL)
+/// A measurement, adjusted by the change of this front's own load since. Once this front has shed its part of
+/// an overload, the others are assumed to have shed theirs.
+fn extrapolate(last: Measurement, own_load: f64, capacity: f64) -> f64 {
+    let current = (last.value + (own_load - last.own_load) / capacity).max(0.0);
+    if last.value > FULL_USE && own_load < last.own_load {
+        current.min(FULL_USE)
     } else {
-        now
+        current
     }
 }
 
-fn mean(of: impl Iterator<Item = f64>) -> Option<f64> {
-    let (sum, n) = of.fold((0.0, 0u32), |(sum, n), x| (sum + x, n + 1));
+fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
+    let (sum, n) = values.fold((0.0, 0u32), |(sum, n), x| (sum + x, n + 1));
     (n > 0).then(|| sum / n as f64)
 }
 
-/// Reports may carry anything: what is not a plausible figure does not enter the table.
-fn sound(x: f64) -> bool {
+/// Reports may contain any value. Implausible ones are ignored.
+fn is_plausible(x: f64) -> bool {
     x.is_finite() && (0.0..1e4).contains(&x)
 }
--- a/src/sessions.rs
+++ b/src/sessions.rs
@@ -28,8 +28,8 @@
     pub setup_count: u16,
     /// Servers whose SETUP failed.
     pub tried_servers: Vec<ServerId>,
-    /// Those of `tried_servers` that answered with an error. They are judged once another server plays the
-    /// session.
+    /// Those of `tried_servers` that answered with an error. It counts against them once another server plays
+    /// the session.
     pub errored_servers: Vec<ServerId>,
     /// Servers that were probed for this session.
     pub probed_servers: Vec<ServerId>,
