--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,9 +1,10 @@
-//! All decisions of the session front. The caller asks three questions: [`FrontState::place`] (where does this
-//! session go), [`FrontState::after_outcome`] (what follows from this outcome) and [`FrontState::due_actions`]
-//! (what is due now, and when to ask again). Reports and other events are recorded by further methods: here
-//! where they bear on a decision, else in `state`. The caller keeps the timers and the session table and
-//! decides nothing itself. The types of the answers are in `api`; the state is in `state`, `sessions`, `fleet`
-//! and `settings`. docs/design.md describes the design, its extensions and when each of them acts.
+//! All decisions of the session front. The caller asks three questions: [`FrontState::place`] (where does
+//! this session go), [`FrontState::after_outcome`] (what follows from this outcome) and
+//! [`FrontState::due_actions`] (what is due now, and when to ask again). Reports and other events are
+//! recorded by further methods: here where they bear on a decision, else in `state`. The caller keeps the
+//! timers and the session table and decides nothing itself. The types of the answers are in `api`; the state
+//! is in `state`, `sessions`, `fleet` and `settings`. docs/design.md describes the design, its extensions and
+//! when each of them acts.
 use crate::api::{DueActions, PeerReport, Placement, SetupOutcome, PEER_REPORTS_PER_MESSAGE};
 use crate::fleet::{ListEntry, Measurement, Server, ServerState, SharedLink};
 use crate::ids::{Ms, RackId, ServerId, SessionId};
@@ -22,8 +23,8 @@
 const START_USE: f64 = 0.8;
 /// A session starts one rung lower for each such step of use above `START_USE`.
 const START_USE_PER_RUNG: f64 = 0.1;
-/// `START_USE` is lowered by the share of the link that the session itself takes, at most by this: where a few
-/// sessions fill a link, the next one is likely to overload it.
+/// `START_USE` is lowered by the share of the link that the session itself takes, at most by this: where a
+/// few sessions fill a link, the next one is likely to overload it.
 const MAX_START_USE_REDUCTION: f64 = 0.1;
 /// Playing sessions are stepped up while use at the higher rate stays under this. New sessions are accepted
 /// while use would stay under it with all sessions at their lowest rungs.
@@ -37,8 +38,8 @@
 const SUFFICIENT_SHARE: f64 = 0.98;
 /// Most that probes may cost, as a share of the utility of sessions: each session pays for that many.
 const PROBE_COST_SHARE: f64 = 0.04;
-/// Interval between probes of a server, divided by the number of this front's sessions there: sessions pay for
-/// probes.
+/// Interval between probes of a server, divided by the number of this front's sessions there: sessions pay
+/// for probes.
 const PROBE_INTERVAL: Ms = 25_000.0;
 /// The first probe of a server comes within this time.
 const FIRST_PROBE_WITHIN: Ms = 1_500.0;
@@ -53,13 +54,14 @@
 const MIN_DELIVERED_SHARE: f64 = 0.1;
 /// Share of the remaining start target that the first SETUP may take where another could follow.
 const FIRST_SETUP_SHARE: f64 = 0.45;
-/// Least time-out of a first SETUP, as a share of the start target: a shorter one would cut off healthy servers.
+/// Least time-out of a first SETUP, as a share of the start target: a shorter one would cut off healthy
+/// servers.
 const MIN_TIMEOUT_SHARE: f64 = 0.1;
 /// For how long a server is set aside after its first failure; doubled with each consecutive one.
 const EXCLUSION_BASE: Ms = 1_000.0;
 const EXCLUSION_MAX: Ms = 8_000.0;
-/// `EXCLUSION_BASE` where fronts exchange reports: a server's recovery is reported sooner than a probe of this
-/// front would show it.
+/// `EXCLUSION_BASE` where fronts exchange reports: a server's recovery is reported sooner than a probe of
+/// this front would show it.
 const EXCLUSION_BASE_WITH_PEERS: Ms = 4_000.0;
 /// Share of a cold server's budget that all fronts together may use.
 const COLD_BUDGET_SHARE: f64 = 0.9;
@@ -99,10 +101,10 @@
 
     /// Records that a session started to play.
     pub fn session_started(&mut self, table: &mut SessionTable, id: SessionId, now: Ms) {
-        let Some(s) = table.sessions.get_mut(&id) else { return };
-        (s.playing, s.answered, s.rung_set_at) = (true, true, now);
-        let errored = std::mem::take(&mut s.errored_servers);
-        if let Some(server) = s.server {
+        let Some(session) = table.sessions.get_mut(&id) else { return };
+        (session.playing, session.answered, session.rung_set_at) = (true, true, now);
+        let errored = std::mem::take(&mut session.errored_servers);
+        if let Some(server) = session.server {
             self.update_health(server, None, now);
         }
         errored.into_iter().for_each(|server| self.update_health(server, Some(SetupOutcome::Errored), now));
@@ -110,18 +112,18 @@
 
     /// Records a load report, whose values are in the order of the settings' report columns.
     pub fn record_report(&mut self, table: &mut SessionTable, server: ServerId, values: &[f64], now: Ms) {
-        if let (true, Some(s)) =
+        if let (true, Some(record)) =
             (values.iter().any(|v| is_plausible(*v)), self.fleet.servers.get_mut(&server))
         {
-            s.last_report_at = now;
+            record.last_report_at = now;
         }
         let columns = self.settings.report_columns.clone();
         for (column, &value) in columns.iter().zip(values) {
             match column {
                 ReportColumn::Streams => {
                     let own = table.loads(&self.settings).get(&server).copied().unwrap_or_default();
-                    if let (true, Some(s)) = (is_plausible(value), self.fleet.servers.get_mut(&server)) {
-                        s.streams = Some(Measurement { value, measured_at: now, own_load: own.streams });
+                    if let (true, Some(record)) = (is_plausible(value), self.fleet.servers.get_mut(&server)) {
+                        record.streams = Some(Measurement { value, measured_at: now, own_load: own.streams });
                     }
                 }
                 ReportColumn::Link => self.record_link_use(table, server, value, now),
@@ -152,24 +154,24 @@
             .filter(|r| is_plausible(r.link_use) && is_plausible(r.stream_use) && is_plausible(r.age))
         {
             let own = table.loads(&self.settings).get(&report.server).copied().unwrap_or_default();
-            let Some(s) = self.fleet.servers.get_mut(&report.server) else { continue };
+            let Some(record) = self.fleet.servers.get_mut(&report.server) else { continue };
             let measured_at = now - report.age;
             let survived =
-                s.died_at.is_some_and(|died| measured_at > died && now - report.process_age < died);
+                record.died_at.is_some_and(|died| measured_at > died && now - report.process_age < died);
             // The server has answered another front since it failed here: the next SETUP of this front shows
             // whether it answers this one too.
-            if s.failures > 0 && measured_at > s.last_failure_at {
+            if record.failures > 0 && measured_at > record.last_failure_at {
                 self.update_health(report.server, None, now);
             }
             if survived {
                 self.confirm_alive(report.server, now - report.process_age);
             }
-            let Some(s) = self.fleet.servers.get_mut(&report.server) else { continue };
-            if s.link_use.is_some_and(|last| last.measured_at >= measured_at) {
+            let Some(record) = self.fleet.servers.get_mut(&report.server) else { continue };
+            if record.link_use.is_some_and(|last| last.measured_at >= measured_at) {
                 continue;
             }
-            let max_streams = self.settings.max_streams(&s.entry);
-            s.streams = Some(Measurement {
+            let max_streams = self.settings.max_streams(&record.entry);
+            record.streams = Some(Measurement {
                 value: report.stream_use * max_streams,
                 measured_at,
                 own_load: own.streams,
@@ -185,19 +187,19 @@
     }
 
     /// Whether fronts exchange reports: only where there are more fronts than servers, so that each front
-    /// carries less than one server's load. A front that carries more measures all servers often enough by its
-    /// own sessions and probes. Two fronts that exchanged reports on every server changed rungs several times as
-    /// often, at three times the probes.
+    /// carries less than one server's load. A front that carries more measures all servers often enough by
+    /// its own sessions and probes. Two fronts that exchanged reports on every server changed rungs several
+    /// times as often, at three times the probes.
     fn exchanges_peer_reports(&self) -> bool {
         let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready);
         self.settings.peer_messages_allowed && self.settings.front_count as usize > ready.count().max(1)
     }
 
-    /// Prepares reports for the other fronts. The answer to a probe is worth as much to each of them as to this
-    /// front, and all pay the same price for probes. So each request pays for a part of one message to all
-    /// fronts; once a message is paid for, this front probes the servers with the oldest measurements and reports
-    /// their answers. The age of measurements thus depends on the requests of the whole fleet, not on the traffic
-    /// of one front.
+    /// Prepares reports for the other fronts. The answer to a probe is worth as much to each of them as to
+    /// this front, and all pay the same price for probes. So each request pays for a part of one message to
+    /// all fronts; once a message is paid for, this front probes the servers with the oldest measurements and
+    /// reports their answers. The age of measurements thus depends on the requests of the whole fleet, not on
+    /// the traffic of one front.
     fn report_to_peers(&mut self, due: &mut DueActions, now: Ms) {
         let other_fronts = self.settings.front_count.saturating_sub(1) as f64;
         if !self.exchanges_peer_reports() || !self.settings.probes_report_link() {
@@ -207,8 +209,8 @@
         let measured_at = |id: &ServerId| {
             servers.get(id).and_then(|s| s.link_use).map_or(Ms::NEG_INFINITY, |l| l.measured_at)
         };
-        // Only answers to this front itself are passed on: else reports would circulate for ever, those on dead
-        // servers too.
+        // Only answers to this front itself are passed on: else reports would circulate for ever, those on
+        // dead servers too.
         let answered_at = |id: &ServerId| servers.get(id).map_or(Ms::NEG_INFINITY, |s| s.last_report_at);
         if let Some((probed, since)) = &self.pending_peer_report {
             if now - since < PROBE_WAIT && probed.iter().any(|id| answered_at(id) < *since) {
@@ -216,13 +218,13 @@
                 return;
             }
             for id in probed.iter().filter(|id| answered_at(id) >= *since) {
-                let s = &servers[id];
-                let max_streams = self.settings.max_streams(&s.entry);
-                let stream_use = s.streams.map_or(0.0, |m| m.value) / max_streams;
+                let record = &servers[id];
+                let max_streams = self.settings.max_streams(&record.entry);
+                let stream_use = record.streams.map_or(0.0, |m| m.value) / max_streams;
                 due.peer_reports.push(PeerReport {
                     server: *id,
                     stream_use,
-                    link_use: s.link_use.map_or(0.0, |l| l.value),
+                    link_use: record.link_use.map_or(0.0, |l| l.value),
                     process_age: 0.0,
                     age: now - answered_at(id),
                 });
@@ -253,8 +255,8 @@
 
     // ---- the server list ----
 
-    /// Schedules the calls for the list. Fronts that start together call at random times, as one service answers
-    /// all of them.
+    /// Schedules the calls for the list. Fronts that start together call at random times, as one service
+    /// answers all of them.
     fn schedule_list_call(&mut self, due: &mut DueActions, now: Ms) {
         let (first_within, interval) = match self.settings.list_delivery {
             ListDelivery::Pushed => return,
@@ -305,9 +307,9 @@
         }
     }
 
-    /// Merges a measurement with the value expected from earlier ones, by its weight. Above full use, the newest
-    /// sessions on the link are stepped down until this front's own load fits: every front sheds its own part of
-    /// the excess. Measurements just after that still show the time before and are ignored.
+    /// Merges a measurement with the value expected from earlier ones, by its weight. Above full use, the
+    /// newest sessions on the link are stepped down until this front's own load fits: every front sheds its
+    /// own part of the excess. Measurements just after that still show the time before and are ignored.
     fn merge_measurement(
         &mut self,
         table: &mut SessionTable,
@@ -388,32 +390,34 @@
     /// Decides where a session goes, and records that in the session table.
     pub fn place(&mut self, table: &mut SessionTable, id: SessionId, now: Ms) -> Placement {
         self.last_call_at = now;
-        let Some(s) = table.sessions.get(&id) else { return Placement::NoAction };
-        if s.answered || s.server.is_some() {
+        let Some(session) = table.sessions.get(&id) else { return Placement::NoAction };
+        if session.answered || session.server.is_some() {
             return Placement::NoAction;
         }
-        let s = s.clone();
+        let session = session.clone();
         self.estimate_foreign_load(table, &table.loads(&self.settings), now);
-        let placement = self.choose_placement(table, &s, now);
-        let s = table.sessions.get_mut(&id).expect("the session was just read");
+        let placement = self.choose_placement(table, &session, now);
+        let session = table.sessions.get_mut(&id).expect("the session was just read");
         match &placement {
             Placement::Setup { server, rung, .. } => {
-                if s.setup_count > 0 && self.settings.retry_budget.is_some() {
+                if session.setup_count > 0 && self.settings.retry_budget.is_some() {
                     self.retry_times.push_back(now);
                 }
                 let window = self.settings.cold_start.map_or(0.0, |c| c.window + c.connect_timeout);
                 let chosen = self.fleet.servers.get_mut(server).expect("holders are known servers");
                 chosen.recent_setups.retain(|t| *t > now - window);
                 chosen.recent_setups.push(now);
-                (s.server, s.rung, s.setup_sent_at, s.held_until) = (Some(*server), *rung, now, None);
-                (s.previous_kb_per_s, s.rate_changed_at) = (0.0, now);
-                s.setup_count += 1;
+                (session.server, session.rung, session.setup_sent_at, session.held_until) =
+                    (Some(*server), *rung, now, None);
+                (session.previous_kb_per_s, session.rate_changed_at) = (0.0, now);
+                session.setup_count += 1;
             }
             Placement::NotYet => {
                 let probed = self.awaited_probe.take();
-                s.held_until = Some(now + if probed.is_some() { PROBE_WAIT } else { COLD_REVIEW_INTERVAL });
-                s.awaited_probe = probed;
-                s.probed_servers.extend(probed);
+                session.held_until =
+                    Some(now + if probed.is_some() { PROBE_WAIT } else { COLD_REVIEW_INTERVAL });
+                session.awaited_probe = probed;
+                session.probed_servers.extend(probed);
                 self.pending_probes.extend(probed);
             }
             Placement::NoAction => {}
@@ -422,60 +426,62 @@
         placement
     }
 
-    fn choose_placement(&mut self, table: &SessionTable, s: &Session, now: Ms) -> Placement {
-        let group = self.settings.service_groups[s.group.0 as usize].clone();
-        let give_up = self.give_up(s);
-        let time_left = s.viewer_deadline - now;
+    fn choose_placement(&mut self, table: &SessionTable, session: &Session, now: Ms) -> Placement {
+        let group = self.settings.service_groups[session.group.0 as usize].clone();
+        let give_up = self.give_up(session);
+        let time_left = session.viewer_deadline - now;
         let title_limit_reached = group.max_sessions_per_title > 0
-            && table.sessions_of_title(s.title, s.group) >= group.max_sessions_per_title;
-        let setups_used_up =
-            s.setup_count >= self.settings.max_setups || s.setup_count > 0 && !self.retry_budget_left(now);
+            && table.sessions_of_title(session.title, session.group) >= group.max_sessions_per_title;
+        let setups_used_up = session.setup_count >= self.settings.max_setups
+            || session.setup_count > 0 && !self.retry_budget_left(now);
         if time_left <= ANSWER_MARGIN || title_limit_reached || setups_used_up {
             return give_up;
         }
         let loads = table.loads(&self.settings);
         let ready = self.fleet.servers.values().filter(|r| r.entry.state == ServerState::Ready);
         let usable: Vec<ServerId> = ready
-            .filter(|r| self.settings.is_holder(&r.entry, &s.holders) && self.setup_is_safe(s, r, now))
+            .filter(|r| {
+                self.settings.is_holder(&r.entry, &session.holders) && self.setup_is_safe(session, r, now)
+            })
             .map(|r| r.entry.id)
-            .filter(|id| self.has_room(table, &loads, *id, s))
+            .filter(|id| self.has_room(table, &loads, *id, session))
             .collect();
         // Normally one of the holders that are neither set aside nor were tried for this session.
         let avoided =
-            |id: &ServerId| self.fleet.servers[id].excluded_until > now || s.tried_servers.contains(id);
+            |id: &ServerId| self.fleet.servers[id].excluded_until > now || session.tried_servers.contains(id);
         let preferred: Vec<ServerId> = usable.iter().copied().filter(|id| !avoided(id)).collect();
         // If there is none, any holder but the one that was tried last.
-        let last_tried = |id: &ServerId| s.tried_servers.last() == Some(id) && usable.len() > 1;
+        let last_tried = |id: &ServerId| session.tried_servers.last() == Some(id) && usable.len() > 1;
         let others: Vec<ServerId> = usable.iter().copied().filter(|id| !last_tried(id)).collect();
         let choice = self.cheapest(&loads, &preferred, now).or_else(|| self.cheapest(&loads, &others, now));
         let Some(server) = choice else {
             let wait =
                 usable.iter().filter_map(|id| self.cold_start_wait(id, now)).fold(Ms::INFINITY, Ms::min);
-            let in_time =
-                now + wait < (s.arrived_at + group.start_target).min(s.viewer_deadline - ANSWER_MARGIN);
+            let in_time = now + wait
+                < (session.arrived_at + group.start_target).min(session.viewer_deadline - ANSWER_MARGIN);
             return if in_time { Placement::NotYet } else { give_up };
         };
-        let target_left = s.arrived_at + group.start_target - now;
-        // A holder with an old measurement is probed first: the answer sets the rung and may change the choice.
-        // Guards against placing by a guess, as with many fronts, after a restart, or with dead servers in the
-        // list. It can do harm where probes are slow. A lost answer costs PROBE_WAIT, and late sessions are not
-        // held.
+        let target_left = session.arrived_at + group.start_target - now;
+        // A holder with an old measurement is probed first: the answer sets the rung and may change the
+        // choice. Guards against placing by a guess, as with many fronts, after a restart, or with dead
+        // servers in the list. It can do harm where probes are slow. A lost answer costs PROBE_WAIT, and late
+        // sessions are not held.
         let measured_at =
             self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |last| last.measured_at);
         let in_time = target_left > group.start_target * MIN_TARGET_LEFT_TO_PROBE;
         let may_probe = self.settings.probes_report_link() && self.probe_debt <= 0.0;
         if may_probe
             && now - measured_at > PROBE_IF_OLDER_THAN
-            && s.probed_servers.len() < MAX_PROBES_PER_SESSION
+            && session.probed_servers.len() < MAX_PROBES_PER_SESSION
             && in_time
         {
             self.awaited_probe = Some(server);
             return Placement::NotYet;
         }
-        let rung = self.start_rung(&loads, server, s);
-        // Only the first SETUP has a short time-out: where two take too long, servers are slow and not dead, and
-        // abandoned and repeated SETUPs would keep them slow.
-        let retry_possible = s.setup_count == 0 && self.settings.max_setups > 1 && usable.len() > 1;
+        let rung = self.start_rung(&loads, server, session);
+        // Only the first SETUP has a short time-out: where two take too long, servers are slow and not dead,
+        // and abandoned and repeated SETUPs would keep them slow.
+        let retry_possible = session.setup_count == 0 && self.settings.max_setups > 1 && usable.len() > 1;
         let timeout = match target_left * FIRST_SETUP_SHARE {
             t if retry_possible && t >= group.start_target * MIN_TIMEOUT_SHARE => {
                 t.min(time_left - ANSWER_MARGIN)
@@ -487,9 +493,9 @@
 
     /// The answer to a session that this front cannot place. It is given at once, so that the viewer can try
     /// elsewhere.
-    fn give_up(&mut self, s: &Session) -> Placement {
-        let repeat = self.settings.service_groups[s.group.0 as usize].repeat;
-        if s.first_uncertain_setup.is_some()
+    fn give_up(&mut self, session: &Session) -> Placement {
+        let repeat = self.settings.service_groups[session.group.0 as usize].repeat;
+        if session.first_uncertain_setup.is_some()
             && !matches!(repeat, RepeatPolicy::Safe | RepeatPolicy::Keyed(KeyScope::All))
         {
             return Placement::TornDown;
@@ -500,9 +506,9 @@
     }
 
     /// Whether a SETUP to this server cannot set the session up twice.
-    fn setup_is_safe(&self, s: &Session, server: &Server, now: Ms) -> bool {
-        let group = &self.settings.service_groups[s.group.0 as usize];
-        let Some((first, sent_at)) = s.first_uncertain_setup else { return true };
+    fn setup_is_safe(&self, session: &Session, server: &Server, now: Ms) -> bool {
+        let group = &self.settings.service_groups[session.group.0 as usize];
+        let Some((first, sent_at)) = session.first_uncertain_setup else { return true };
         match group.repeat {
             RepeatPolicy::Safe => true,
             RepeatPolicy::Once => false,
@@ -530,8 +536,8 @@
             <= budget.free_retries + budget.retries_per_request * self.request_times.len() as f64
     }
 
-    /// WMCA: the holder of least cost among those that may take a SETUP now. The choice among equals is random:
-    /// where few servers are measured most are equal, and all fronts would choose the same one.
+    /// WMCA: the holder of least cost among those that may take a SETUP now. The choice among equals is
+    /// random: where few servers are measured most are equal, and all fronts would choose the same one.
     fn cheapest(&mut self, loads: &Loads, holders: &[ServerId], now: Ms) -> Option<ServerId> {
         let usable = holders.iter().filter(|id| self.cold_start_wait(id, now).is_none());
         let mut by_cost: Vec<(f64, ServerId)> = usable.map(|id| (self.cost(loads, *id), *id)).collect();
@@ -541,9 +547,9 @@
     }
 
     fn cost(&self, loads: &Loads, server: ServerId) -> f64 {
-        let r = &self.fleet.servers[&server];
-        let max_streams = self.settings.max_streams(&r.entry);
-        let uplink = self.uplink_use(loads, self.settings.rack_of_cell(r.entry.cell));
+        let record = &self.fleet.servers[&server];
+        let max_streams = self.settings.max_streams(&record.entry);
+        let uplink = self.uplink_use(loads, self.settings.rack_of_cell(record.entry.cell));
         ALPHA * self.stream_count(loads, server, max_streams) / max_streams
             + BETA * (self.link_use(loads, server) + uplink)
     }
@@ -586,13 +592,13 @@
         }
     }
 
-    /// Streams at a server: the last report, adjusted by the change of this front's own streams since. Without a
-    /// report, this front's own streams and as many others as on an average server.
+    /// Streams at a server: the last report, adjusted by the change of this front's own streams since.
+    /// Without a report, this front's own streams and as many others as on an average server.
     fn stream_count(&self, loads: &Loads, server: ServerId, max_streams: f64) -> f64 {
         let own = loads.get(&server).map_or(0.0, |l| l.streams);
-        let s = &self.fleet.servers[&server];
-        match s.streams {
-            _ if s.busy_until > self.last_call_at => max_streams,
+        let record = &self.fleet.servers[&server];
+        match record.streams {
+            _ if record.busy_until > self.last_call_at => max_streams,
             Some(last) => (last.value + own - last.own_load).max(own),
             None => own + self.unmeasured_foreign_load(server, self.foreign_load.streams),
         }
@@ -612,9 +618,9 @@
         }
     }
 
-    /// Load of the other fronts on a server without a measurement: the average. A server that has just started
-    /// by the list counts as empty: a zone that comes back would otherwise look as full as those that took over
-    /// its load. It can fill up unnoticed if all fronts send there before its first report.
+    /// Load of the other fronts on a server without a measurement: the average. A server that has just
+    /// started by the list counts as empty: a zone that comes back would otherwise look as full as those that
+    /// took over its load. It can fill up unnoticed if all fronts send there before its first report.
     fn unmeasured_foreign_load(&self, server: ServerId, average: f64) -> f64 {
         let started_at = self.fleet.servers[&server].entry.started_at;
         let cold = started_at
@@ -627,11 +633,11 @@
         }
     }
 
-    /// Estimates the load of the other fronts on an average server: that on the measured servers or, without any,
-    /// the load if each front carries as much as this one. The others are also assumed to have added to each
-    /// server, not measured yet, what this front has added to all servers recently: in a crowd of requests all
-    /// fronts get their part, and all follow the same reports. If the crowd comes to this front alone, it avoids
-    /// more servers than necessary.
+    /// Estimates the load of the other fronts on an average server: that on the measured servers or, without
+    /// any, the load if each front carries as much as this one. The others are also assumed to have added to
+    /// each server, not measured yet, what this front has added to all servers recently: in a crowd of
+    /// requests all fronts get their part, and all follow the same reports. If the crowd comes to this front
+    /// alone, it avoids more servers than necessary.
     fn estimate_foreign_load(&mut self, table: &SessionTable, loads: &Loads, now: Ms) {
         let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready).count();
         let others_per_server = self.settings.front_count.saturating_sub(1) as f64 / ready.max(1) as f64;
@@ -649,8 +655,8 @@
         self.foreign_load = ForeignLoad { streams, kb_per_s, link_use, surge_kb_per_s };
     }
 
-    /// Use of a rack's uplink: the last measurement, else the mean of the measured uplinks, else the sum of the
-    /// loads of the rack's links over the uplink's stated capacity.
+    /// Use of a rack's uplink: the last measurement, else the mean of the measured uplinks, else the sum of
+    /// the loads of the rack's links over the uplink's stated capacity.
     fn uplink_use(&self, loads: &Loads, rack: RackId) -> f64 {
         let uplink = SharedLink::Uplink(rack);
         // Measurements expire, as a full rack that is avoided is not measured again.
@@ -675,28 +681,28 @@
     }
 
     /// Whether one more session at its lowest rung fits a server's link and uplink with all sessions there at
-    /// their lowest rungs. How far the other fronts' sessions can step down is taken from all sessions of this
-    /// front, as it has few on any one link. Guards against a crowd in which every viewer gets too little to go
-    /// on watching: a busy reply does less harm than one more session. It can turn viewers away for nothing while
-    /// a measured shortage is already over. A link without a measurement turns nobody away.
+    /// their lowest rungs. How far the other fronts' sessions can step down is taken from all sessions of
+    /// this front, as it has few on any one link. Guards against a crowd in which every viewer gets too
+    /// little to go on watching: a busy reply does less harm than one more session. It can turn viewers away
+    /// for nothing while a measured shortage is already over. A link without a measurement turns nobody away.
     fn has_room(&self, table: &SessionTable, loads: &Loads, server: ServerId, new: &Session) -> bool {
         let lowest_rate = |s: &Session| {
             s.rate(&self.settings, self.settings.service_groups[s.group.0 as usize].lowest_rung)
         };
         let lowest_share = self.lowest_rung_load_share(table, |s| s.server.is_some());
-        let r = &self.fleet.servers[&server];
-        let rack = self.settings.rack_of_cell(r.entry.cell);
+        let record = &self.fleet.servers[&server];
+        let rack = self.settings.rack_of_cell(record.entry.cell);
         let uplink = self.fleet.racks.get(&rack).and_then(|r| r.uplink_use);
         let full =
             |link, use_: f64| use_ * lowest_share + lowest_rate(new) / self.capacity(link) > TARGET_USE;
-        r.busy_until <= self.last_call_at
-            && !(self.fresh(r.link_use).is_some()
+        record.busy_until <= self.last_call_at
+            && !(self.fresh(record.link_use).is_some()
                 && full(SharedLink::Link(server), self.link_use(loads, server)))
             && !(self.fresh(uplink).is_some() && full(SharedLink::Uplink(rack), self.uplink_use(loads, rack)))
     }
 
-    /// Load of the selected sessions at their lowest rungs, as a share of their current load. Without sessions
-    /// it is 0, so that a front without any turns nobody away.
+    /// Load of the selected sessions at their lowest rungs, as a share of their current load. Without
+    /// sessions it is 0, so that a front without any turns nobody away.
     fn lowest_rung_load_share(&self, table: &SessionTable, selected: impl Fn(&Session) -> bool) -> f64 {
         let lowest_rate = |s: &Session| {
             s.rate(&self.settings, self.settings.service_groups[s.group.0 as usize].lowest_rung)
@@ -707,8 +713,8 @@
         lowest / current.max(1e-3)
     }
 
-    fn uses_link(&self, s: &Session, link: SharedLink) -> bool {
-        s.server.is_some_and(|server| match link {
+    fn uses_link(&self, session: &Session, link: SharedLink) -> bool {
+        session.server.is_some_and(|server| match link {
             SharedLink::Link(id) => server == id,
             SharedLink::Uplink(rack) => self.rack_of(server) == Some(rack),
         })
@@ -717,17 +723,18 @@
     // ---- rungs ----
 
     /// The rung of a new session: its highest, and one lower for each `START_USE_PER_RUNG` of use above
-    /// `START_USE`. Use includes the session at that rung, as one at a high rung may be a good part of a link.
-    fn start_rung(&self, loads: &Loads, server: ServerId, s: &Session) -> u8 {
-        let lowest = self.settings.service_groups[s.group.0 as usize].lowest_rung;
+    /// `START_USE`. Use includes the session at that rung, as one at a high rung may be a good part of a
+    /// link.
+    fn start_rung(&self, loads: &Loads, server: ServerId, session: &Session) -> u8 {
+        let lowest = self.settings.service_groups[session.group.0 as usize].lowest_rung;
         let fits = |rung: &u8| {
-            let kb_per_s = s.rate(&self.settings, *rung);
+            let kb_per_s = session.rate(&self.settings, *rung);
             let reduction = (kb_per_s / self.capacity(SharedLink::Link(server))).min(MAX_START_USE_REDUCTION);
             let limit = START_USE - reduction;
             let steps = (self.max_use_with(loads, server, kb_per_s) - limit) / START_USE_PER_RUNG;
-            (s.highest_rung - *rung) as f64 >= steps.ceil().max(0.0)
+            (session.highest_rung - *rung) as f64 >= steps.ceil().max(0.0)
         };
-        (lowest..=s.highest_rung).rev().find(fits).unwrap_or(lowest)
+        (lowest..=session.highest_rung).rev().find(fits).unwrap_or(lowest)
     }
 
     /// Steps down the newest of this front's sessions on a link until their load is at most `limit`, in kB a
@@ -737,44 +744,49 @@
         let on_link = table.sessions.values().filter(|s| self.uses_link(s, link));
         let mut load: f64 = on_link.map(|s| s.rate(settings, s.rung)).sum();
         let playing = table.sessions.iter().filter(|(_, s)| s.playing && self.uses_link(s, link));
-        let mut newest: Vec<(Ms, SessionId)> = playing.map(|(id, s)| (s.arrived_at, *id)).collect();
+        let mut newest: Vec<(Ms, SessionId)> =
+            playing.map(|(id, session)| (session.arrived_at, *id)).collect();
         newest.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)));
         let changes_before = self.rung_changes.len();
         for (_, id) in newest {
-            let s = table.sessions.get_mut(&id).expect("the session was just listed");
+            let session = table.sessions.get_mut(&id).expect("the session was just listed");
             if load <= limit {
                 break;
             }
-            let lowest = settings.service_groups[s.group.0 as usize].lowest_rung;
-            if now - s.rung_set_at >= RUNG_HOLD_DELAYS * settings.measurement_delay && s.rung > lowest {
-                let saved = |rung: u8| s.rate(settings, s.rung) - s.rate(settings, rung);
+            let lowest = settings.service_groups[session.group.0 as usize].lowest_rung;
+            if now - session.rung_set_at >= RUNG_HOLD_DELAYS * settings.measurement_delay
+                && session.rung > lowest
+            {
+                let saved = |rung: u8| session.rate(settings, session.rung) - session.rate(settings, rung);
                 // One rung, unless a change costs more than a rung's utility within MEASUREMENT_LIFETIME.
                 let cost = |rung: u8| {
-                    let lost = settings.rung_utility[s.rung as usize] - settings.rung_utility[rung as usize];
+                    let lost =
+                        settings.rung_utility[session.rung as usize] - settings.rung_utility[rung as usize];
                     (settings.rung_change_cost + MEASUREMENT_LIFETIME * lost) / saved(rung)
                 };
-                let rung = (lowest..s.rung).rev().min_by(|a, b| cost(*a).total_cmp(&cost(*b)));
+                let rung = (lowest..session.rung).rev().min_by(|a, b| cost(*a).total_cmp(&cost(*b)));
                 let rung = rung.expect("there is a rung below");
                 let saved = saved(rung);
-                // A rung may be far more than this front's part of the excess. The last step is random, or all
-                // fronts together would shed several times the excess.
+                // A rung may be far more than this front's part of the excess. The last step is random, or
+                // all fronts together would shed several times the excess.
                 if load - limit < saved * self.rng.f64() {
                     break;
                 }
                 load -= saved;
-                (s.previous_kb_per_s, s.rate_changed_at) = (s.rate(settings, s.rung), now);
-                (s.rung, s.rung_set_at) = (rung, now);
-                self.rung_changes.push((id, s.rung));
+                (session.previous_kb_per_s, session.rate_changed_at) =
+                    (session.rate(settings, session.rung), now);
+                (session.rung, session.rung_set_at) = (rung, now);
+                self.rung_changes.push((id, session.rung));
             }
         }
         self.rung_changes.len() > changes_before
     }
 
-    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is the share
-    /// that this front has of the use, and as in `step_down` the last step is random: so fronts with the same
-    /// measurement fill the spare capacity once, however many they are. It fills more slowly where their shares
-    /// differ much. What is left of the part stays until the next measurement, for sessions that may not change
-    /// their rung yet.
+    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is the
+    /// share that this front has of the use, and as in `step_down` the last step is random: so fronts with
+    /// the same measurement fill the spare capacity once, however many they are. It fills more slowly where
+    /// their shares differ much. What is left of the part stays until the next measurement, for sessions that
+    /// may not change their rung yet.
     fn use_spare_capacity(&mut self, table: &mut SessionTable, server: ServerId, gain: f64, now: Ms) {
         let loads = table.loads(&self.settings);
         self.estimate_foreign_load(table, &loads, now);
@@ -794,25 +806,27 @@
         let mut loads = table.loads(&self.settings);
         let settings = &self.settings;
         let mut candidates: Vec<(f64, SessionId)> = Vec::new();
-        for (id, s) in &table.sessions {
-            if s.playing && s.server == Some(server) && s.rung < s.highest_rung {
-                let gain =
-                    settings.rung_utility[s.rung as usize + 1] - settings.rung_utility[s.rung as usize];
-                // A session that has kept its rung for as long as the change takes to pay off is likely to stay
-                // on for as long again.
+        for (id, session) in &table.sessions {
+            if session.playing && session.server == Some(server) && session.rung < session.highest_rung {
+                let gain = settings.rung_utility[session.rung as usize + 1]
+                    - settings.rung_utility[session.rung as usize];
+                // A session that has kept its rung for as long as the change takes to pay off is likely to
+                // stay on for as long again.
                 let payback = settings.rung_change_cost / gain.max(1e-3);
-                if now - s.rung_set_at < (RUNG_HOLD_DELAYS * settings.measurement_delay).max(payback) {
+                if now - session.rung_set_at < (RUNG_HOLD_DELAYS * settings.measurement_delay).max(payback) {
                     continue;
                 }
-                let kb_per_s = s.rate(settings, s.rung + 1) - s.rate(settings, s.rung);
-                let utility = settings.service_groups[s.group.0 as usize].utility;
+                let kb_per_s =
+                    session.rate(settings, session.rung + 1) - session.rate(settings, session.rung);
+                let utility = settings.service_groups[session.group.0 as usize].utility;
                 candidates.push((utility * gain / kb_per_s, *id));
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (_, id) in candidates {
-            let s = table.sessions.get_mut(&id).expect("the session was just listed");
-            let kb_per_s = s.rate(&self.settings, s.rung + 1) - s.rate(&self.settings, s.rung);
+            let session = table.sessions.get_mut(&id).expect("the session was just listed");
+            let kb_per_s =
+                session.rate(&self.settings, session.rung + 1) - session.rate(&self.settings, session.rung);
             let spare = self.fleet.servers[&server].spare_kb_per_s;
             let fits = self.max_use_with(&loads, server, kb_per_s) < TARGET_USE
                 && spare >= kb_per_s * self.rng.f64();
@@ -821,10 +835,11 @@
             if !fits {
                 break;
             }
-            (s.previous_kb_per_s, s.rate_changed_at) = (s.rate(&self.settings, s.rung), now);
-            (s.rung, s.rung_set_at) = (s.rung + 1, now);
+            (session.previous_kb_per_s, session.rate_changed_at) =
+                (session.rate(&self.settings, session.rung), now);
+            (session.rung, session.rung_set_at) = (session.rung + 1, now);
             loads.entry(server).or_default().kb_per_s += kb_per_s;
-            self.rung_changes.push((id, s.rung));
+            self.rung_changes.push((id, session.rung));
         }
     }
 
@@ -838,30 +853,30 @@
         outcome: SetupOutcome,
         now: Ms,
     ) -> Placement {
-        let Some(s) = table.sessions.get_mut(&id) else { return Placement::NoAction };
-        let Some(server) = s.server.take() else { return Placement::NoAction };
-        if s.playing || s.answered {
-            let played = s.playing;
+        let Some(session) = table.sessions.get_mut(&id) else { return Placement::NoAction };
+        let Some(server) = session.server.take() else { return Placement::NoAction };
+        if session.playing || session.answered {
+            let played = session.playing;
             table.sessions.remove(&id);
             if played && outcome == SetupOutcome::Broken {
                 self.update_health(server, Some(outcome), now);
             }
             return Placement::NoAction;
         }
-        if !outcome.never_ran() && s.first_uncertain_setup.is_none() {
-            s.first_uncertain_setup = Some((server, s.setup_sent_at));
+        if !outcome.never_ran() && session.first_uncertain_setup.is_none() {
+            session.first_uncertain_setup = Some((server, session.setup_sent_at));
         }
-        s.tried_servers.push(server);
+        session.tried_servers.push(server);
         // An error counts against the server once another one takes the session, or if no other may be tried.
         // Else it counts against the session: one that no server can use would set aside each server that it
         // tries. Guards against viewers that request what does not exist. Where all holders of a title answer
         // with errors, none of them is set aside.
         if outcome == SetupOutcome::Errored {
-            s.errored_servers.push(server);
+            session.errored_servers.push(server);
         } else {
             self.update_health(server, Some(outcome), now);
         }
-        let only_error = s.errored_servers == [server];
+        let only_error = session.errored_servers == [server];
         if outcome == SetupOutcome::BusyReplied {
             // Else the server would stay cheapest and draw every retry, whether its link, its streams or its
             // queue is full. If it has room again at once, it is avoided for BUSY_DURATION for nothing.
@@ -875,19 +890,19 @@
         placement
     }
 
-    /// Counts a server's consecutive failures and sets it aside for them. `None` stands for a SETUP that led to
-    /// play, or another sign that the server works.
+    /// Counts a server's consecutive failures and sets it aside for them. `None` stands for a SETUP that led
+    /// to play, or another sign that the server works.
     fn update_health(&mut self, server: ServerId, outcome: Option<SetupOutcome>, now: Ms) {
         let with_peers = self.exchanges_peer_reports();
-        let Some(r) = self.fleet.servers.get_mut(&server) else { return };
+        let Some(record) = self.fleet.servers.get_mut(&server) else { return };
         match outcome {
             None => {
-                if r.failures > 0 {
-                    self.log_lines.push(format!("server back server={} fails={}", server.0, r.failures));
+                if record.failures > 0 {
+                    self.log_lines.push(format!("server back server={} fails={}", server.0, record.failures));
                 }
-                (r.failures, r.excluded_until) = (0, Ms::NEG_INFINITY);
-                if r.died_at.is_some() && r.recovered_at.is_none() {
-                    r.recovered_at = Some(now);
+                (record.failures, record.excluded_until) = (0, Ms::NEG_INFINITY);
+                if record.died_at.is_some() && record.recovered_at.is_none() {
+                    record.recovered_at = Some(now);
                 }
             }
             Some(
@@ -897,49 +912,55 @@
                 | SetupOutcome::NeverSent,
             ) => {}
             Some(failure) => {
-                r.failures += 1;
-                r.last_failure_at = now;
+                record.failures += 1;
+                record.last_failure_at = now;
                 if matches!(failure, SetupOutcome::NoConnection | SetupOutcome::Broken) {
-                    // Its process may be gone, and is then cold when it answers again, whatever the list says.
-                    (r.died_at, r.recovered_at) = (Some(now), None);
+                    // Its process may be gone, and is then cold when it answers again, whatever the list
+                    // says.
+                    (record.died_at, record.recovered_at) = (Some(now), None);
                 }
                 let base = if with_peers { EXCLUSION_BASE_WITH_PEERS } else { EXCLUSION_BASE };
-                r.excluded_until = now + (base * 2f64.powi(r.failures.min(10) as i32 - 1)).min(EXCLUSION_MAX);
-                self.log_lines
-                    .push(format!("server aside server={} fails={} last={failure:?}", server.0, r.failures));
+                record.excluded_until =
+                    now + (base * 2f64.powi(record.failures.min(10) as i32 - 1)).min(EXCLUSION_MAX);
+                self.log_lines.push(format!(
+                    "server aside server={} fails={} last={failure:?}",
+                    server.0, record.failures
+                ));
             }
         }
     }
 
     /// Records that the server's current process already existed at `since`. If it was believed dead after
     /// that, it was not, and it is as warm as before. Guards against a zone that was cut off for seconds, or
-    /// whose connections were reset: each front that noticed would leave its servers alone for a whole warm-up.
+    /// whose connections were reset: each front that noticed would leave its servers alone for a whole
+    /// warm-up.
     pub fn confirm_alive(&mut self, server: ServerId, since: Ms) {
-        let Some(r) = self.fleet.servers.get_mut(&server) else { return };
-        if r.died_at.is_some_and(|died| since < died) {
+        let Some(record) = self.fleet.servers.get_mut(&server) else { return };
+        if record.died_at.is_some_and(|died| since < died) {
             self.log_lines.push(format!("server lives server={}", server.0));
-            (r.died_at, r.recovered_at) = (None, None);
+            (record.died_at, record.recovered_at) = (None, None);
         }
     }
 
     /// How long until a SETUP may go to a server that may be cold; `None` if it may go now. All fronts share
     /// the server's budget equally if that gives each at least one SETUP in a window. Else the server is left
     /// alone until it is warm, as no front knows what the others send. The budget counts on the warmth at the
-    /// start only, as later warmth is not certain. A front that has just started counts its share as spent. Shares
-    /// are spaced by the window plus the connect time-out, as a SETUP may wait for its connection. It does harm
-    /// where much of a fleet is cold at once: the other servers must carry all.
+    /// start only, as later warmth is not certain. A front that has just started counts its share as spent.
+    /// Shares are spaced by the window plus the connect time-out, as a SETUP may wait for its connection. It
+    /// does harm where much of a fleet is cold at once: the other servers must carry all.
     fn cold_start_wait(&self, server: &ServerId, now: Ms) -> Option<Ms> {
         let cold = self.settings.cold_start?;
-        let r = &self.fleet.servers[server];
+        let record = &self.fleet.servers[server];
         // A server that died comes back cold. Without probes, only the list shows when.
-        let recovered_at = r.recovered_at.or(r.died_at.filter(|_| !self.settings.probes_allowed));
-        let warm_after_death = r.died_at.map(|_| recovered_at.map_or(Ms::INFINITY, |t| t + cold.duration));
-        let warm_after_start = r.entry.started_at.map(|t| t + cold.duration);
+        let recovered_at = record.recovered_at.or(record.died_at.filter(|_| !self.settings.probes_allowed));
+        let warm_after_death =
+            record.died_at.map(|_| recovered_at.map_or(Ms::INFINITY, |t| t + cold.duration));
+        let warm_after_start = record.entry.started_at.map(|t| t + cold.duration);
         let warm_at = warm_after_death.into_iter().chain(warm_after_start).fold(now, Ms::max);
         if warm_at <= now {
             return None;
         }
-        let max_streams = self.settings.max_streams(&r.entry);
+        let max_streams = self.settings.max_streams(&record.entry);
         let budget = cold.rate_multiple * max_streams / cold.duration
             * cold.initial_share
             * cold.window
@@ -949,7 +970,7 @@
             return Some(warm_at - now);
         }
         let window = cold.window + cold.connect_timeout;
-        let recent = r.recent_setups.iter().filter(|t| **t > now - window);
+        let recent = record.recent_setups.iter().filter(|t| **t > now - window);
         let mut wait: Ms = (self.started_at + window - now).max(0.0);
         if recent.clone().count() as f64 >= share {
             wait = wait.max(recent.fold(Ms::INFINITY, |a, b| a.min(*b)) + window - now);
@@ -970,11 +991,11 @@
         due.probes = std::mem::take(&mut self.pending_probes);
         let servers = &self.fleet.servers;
         let not_ready = |id| servers.get(&id).is_none_or(|r| r.entry.state != ServerState::Ready);
-        for (id, s) in &mut table.sessions {
-            match s.held_until {
+        for (id, session) in &mut table.sessions {
+            match session.held_until {
                 // A server that no longer takes new sessions is not waited for.
-                Some(t) if t <= now || s.awaited_probe.is_some_and(not_ready) => {
-                    (s.held_until, s.awaited_probe) = (None, None);
+                Some(t) if t <= now || session.awaited_probe.is_some_and(not_ready) => {
+                    (session.held_until, session.awaited_probe) = (None, None);
                     due.sessions_to_place.push(*id);
                 }
                 Some(t) => due.next_call_at = due.next_call_at.min(t),
@@ -984,30 +1005,33 @@
         let loads = table.loads(&self.settings);
         let listed = |s: &&mut Server| s.entry.state != ServerState::Gone;
         let with_peers = self.exchanges_peer_reports();
-        for s in self.fleet.servers.values_mut().filter(listed).filter(|_| self.settings.probes_allowed) {
+        for record in self.fleet.servers.values_mut().filter(listed).filter(|_| self.settings.probes_allowed)
+        {
             // A server that was set aside is tried by a probe and not by a viewer's session.
-            if s.failures > 0 {
-                if s.entry.state == ServerState::Ready && s.excluded_until <= now {
-                    s.excluded_until = now + EXCLUSION_BASE;
-                    due.probes.push(s.entry.id);
+            if record.failures > 0 {
+                if record.entry.state == ServerState::Ready && record.excluded_until <= now {
+                    record.excluded_until = now + EXCLUSION_BASE;
+                    due.probes.push(record.entry.id);
                 }
                 continue;
             }
             let may_probe = self.settings.reports_by_probe
                 && self.settings.probes_report_link()
                 && self.probe_debt <= 0.0;
-            let Some(own) = loads.get(&s.entry.id).filter(|_| may_probe) else { continue };
+            let Some(own) = loads.get(&record.entry.id).filter(|_| may_probe) else { continue };
             let next = now + PROBE_INTERVAL / own.streams;
-            let just_measured = s.link_use.is_some_and(|last| now - last.measured_at < FIRST_PROBE_WITHIN);
+            let just_measured =
+                record.link_use.is_some_and(|last| now - last.measured_at < FIRST_PROBE_WITHIN);
             let min_wait = if with_peers { FIRST_PROBE_WITHIN } else { 0.0 };
             let first =
                 if just_measured { next } else { now + min_wait + FIRST_PROBE_WITHIN * self.rng.f64() };
             // A report of another front serves as well as an answer to this one.
-            let due_by_age = s.link_use.map_or(now, |last| last.measured_at + PROBE_INTERVAL / own.streams);
-            if *s.next_probe_at.get_or_insert(first) <= now {
-                s.next_probe_at = Some(if due_by_age <= now { next } else { due_by_age });
+            let due_by_age =
+                record.link_use.map_or(now, |last| last.measured_at + PROBE_INTERVAL / own.streams);
+            if *record.next_probe_at.get_or_insert(first) <= now {
+                record.next_probe_at = Some(if due_by_age <= now { next } else { due_by_age });
                 if due_by_age <= now {
-                    due.probes.push(s.entry.id);
+                    due.probes.push(record.entry.id);
                 }
             }
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -91,7 +91,8 @@
     /// Changes are pushed without a call.
     Pushed,
     /// Changes are pushed once a watch call was answered. Calls can fail, and a watch can break off. A front
-    /// that has made no call for `assumed_known_after` is assumed to know the list as it was that long before.
+    /// that has made no call for `assumed_known_after` is assumed to know the list as it was that long
+    /// before.
     Watched { assumed_known_after: Ms },
     /// Changes come only with the answer to a call. New sessions may go to a server for `grace` after it was
     /// announced as draining.
--- a/src/state.rs
+++ b/src/state.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Records an entry of the server list. Another start time means a new process, for which nothing known of
-    /// the old one counts.
+    /// Records an entry of the server list. Another start time means a new process, for which nothing known
+    /// of the old one counts.
     pub fn update_server(&mut self, entry: ListEntry) {
         match self.fleet.servers.get_mut(&entry.id) {
             Some(s) if s.entry.started_at == entry.started_at => {
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Where a session takes a good part of its link, the mark is lower; a fine-grained link is used up to the page's.
+/// Where a session takes a good part of its link, the mark is lower; a fine-grained link is used up to the
+/// page's.
 #[test_case(2_000.0, 0.55 => 1; "a fifth of the link each")]
 #[test_case(200_000.0, 0.75 => 2; "a five hundredth each")]
 #[test_case(200_000.0, 0.85 => 1; "over the page's mark all the same")]
@@ -177,7 +178,8 @@
     f.rung_changes
 }
 
-/// News that comes again within its own delay does not show what the first led to: guards against room filled twice.
+/// News that comes again within its own delay does not show what the first led to: guards against room filled
+/// twice.
 #[test_case(5_000.0 => 800.0; "all of the part")]
 #[test_case(110.0 => 80.0; "a tenth of the delay later")]
 fn room_is_filled_once_within_the_delay_of_news(ago: Ms) -> f64 {
@@ -214,7 +216,8 @@
         f.record_report(&mut h, ServerId(id), &[10.0, 0.7], now + 10.0);
     }
     assert!(f.due_actions(&mut h, now + 20.0).peer_reports.is_empty(), "one has not answered yet");
-    // What another front says of it is not this one's to pass on: guards against a dead server told of for ever.
+    // What another front says of it is not this one's to pass on: guards against a dead server told of for
+    // ever.
     let news = walnutline::api::PeerReport {
         server: ServerId(2),
         stream_use: 0.5,
@@ -229,7 +232,8 @@
     assert!(f.due_actions(&mut h, now + 400.0).peer_reports.is_empty(), "once");
 }
 
-/// Guards against two fronts that ask each server anew with each request, and fill and shed its link by turns.
+/// Guards against two fronts that ask each server anew with each request, and fill and shed its link by
+/// turns.
 #[test_case(5 => 4; "more fronts than servers")]
 #[test_case(4 => 0; "as many")]
 #[test_case(1 => 0; "alone")]
@@ -256,8 +260,8 @@
     f.fleet.servers[&ServerId(0)].link_use.unwrap().value
 }
 
-/// A zone that was cut off is no zone that comes back cold: guards against each front leaving it alone for a whole
-/// warm-up. What another front tells counts where it was heard after the failure.
+/// A zone that was cut off is no zone that comes back cold: guards against each front leaving it alone for a
+/// whole warm-up. What another front tells counts where it was heard after the failure.
 #[test_case(1_000.0, 50.0 => (true, 0); "known since before the failure")]
 #[test_case(100.0, 50.0 => (false, 0); "perhaps a new process")]
 #[test_case(1_000.0, 700.0 => (false, 2); "heard before the failure")]
@@ -323,8 +327,8 @@
     assert_eq!((s.link_use.unwrap().measured_at, s.streams.unwrap().measured_at), (NOW, NOW));
 }
 
-/// A session that no server can use sets none aside; an error counts once another server plays the session, or
-/// where none may be asked.
+/// A session that no server can use sets none aside; an error counts once another server plays the session,
+/// or where none may be asked.
 #[test_case(4, 1, true => 1; "played elsewhere")]
 #[test_case(4, 2, true => 2; "played at the third")]
 #[test_case(3, 3, false => 0; "in error everywhere")]
@@ -626,8 +630,8 @@
     rung
 }
 
-/// A session that this front gives up on has its answer at once, however long its viewer would wait. Guards against
-/// viewers kept from looking elsewhere; they are told when to come back.
+/// A session that this front gives up on has its answer at once, however long its viewer would wait. Guards
+/// against viewers kept from looking elsewhere; they are told when to come back.
 #[test_case(|_, s| s.viewer_deadline = NOW + 20.0; "its time is up")]
 #[test_case(|_, s| s.setup_count = 4; "all SETUPs are used")]
 #[test_case(|f, s| { f.settings.retry_budget = Some(budget()); f.retry_times.extend([NOW, NOW]); s.setup_count = 1 }; "budget spent")]
@@ -742,7 +746,8 @@
     place == Placement::NotYet
 }
 
-/// Guards against a server that looks the smaller the more it carries, where its listed weight moves with its load.
+/// Guards against a server that looks the smaller the more it carries, where its listed weight moves with its
+/// load.
 #[test_case(WeightKind::Capacity => 0; "the weight as it is listed")]
 #[test_case(WeightKind::LoadAdjusted => 2; "the largest that was listed")]
 fn a_weight_that_moves_with_load_is_no_smaller_link(weights: WeightKind) -> u8 {
