--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -44,7 +44,7 @@
             cold_start: Some(cold),
             max_streams_by_kind: vec![streams],
             probes_allowed: false,
-            ..terms()
+            ..settings()
         };
         let mut front = FrontState::new(terms, rng.u64(..), now);
         front.update_server(ListEntry { started_at: Some(NOW), ..server(0).entry });
@@ -74,13 +74,13 @@
                     continue;
                 }
                 loop {
-                    let mut h = hand([Session {
+                    let mut table = session_table([Session {
                         holders: cells(0, 1),
                         arrived_at: now,
                         viewer_deadline: now + 3_000.0,
-                        ..sess()
+                        ..session()
                     }]);
-                    let Placement::Setup { .. } = all[n].place(&mut h, SessionId(1), now) else { break };
+                    let Placement::Setup { .. } = all[n].place(&mut table, SessionId(1), now) else { break };
                     let late = if (ms / 1_000) % 2 == 0 { LATE } else { 0.0 };
                     arrived.push(now + late);
                 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small states for tests: four servers that hold everything, on two racks, one service group.
+//! Small states for tests: four servers that hold all titles, on two racks, and one service group.
 use walnutline::api::Holders;
 use walnutline::fleet::{ListEntry, Measurement, Server, ServerState};
 use walnutline::ids::*;
@@ -11,7 +11,7 @@
 
 pub const NOW: Ms = 100_000.0;
 
-pub fn terms() -> PolicySettings {
+pub fn settings() -> PolicySettings {
     PolicySettings {
         front_count: 2,
         service_groups: vec![ServiceGroup {
@@ -48,8 +48,9 @@
     }
 }
 
+/// A server with half of its link in use, by a measurement at `NOW`.
 pub fn server(id: u32) -> Server {
-    let listed = ListEntry {
+    let entry = ListEntry {
         id: ServerId(id),
         zone: ZoneIndex(0),
         kind: KindIndex(0),
@@ -62,20 +63,21 @@
     Server {
         link_use: link,
         streams: Some(Measurement { value: 5.0, measured_at: NOW, own_load: 0.0 }),
-        ..Server::new(listed)
+        ..Server::new(entry)
     }
 }
 
-/// A front that was born long ago and has heard half of every link in use.
-pub fn front(terms: PolicySettings) -> FrontState {
-    let mut front = FrontState::new(terms, 7, 0.0);
+/// A front that started long ago and has measured a use of 0.5 on every link.
+pub fn front(settings: PolicySettings) -> FrontState {
+    let mut front = FrontState::new(settings, 7, 0.0);
     for id in 0..4 {
         front.fleet.servers.insert(ServerId(id), server(id));
     }
     front
 }
 
-pub fn sess() -> Session {
+/// A request that arrived at `NOW`.
+pub fn session() -> Session {
     Session {
         group: GroupIndex(0),
         title: TitleId(9),
@@ -106,23 +108,25 @@
     Holders::Cells { first: CellId(first), count }
 }
 
-pub fn playing(at: u32, rung: u8, came: Ms) -> Session {
+/// A session that plays at a server.
+pub fn playing(server: u32, rung: u8, arrived_at: Ms) -> Session {
     Session {
-        server: Some(ServerId(at)),
+        server: Some(ServerId(server)),
         playing: true,
         answered: true,
         rung,
-        arrived_at: came,
+        arrived_at,
         setup_count: 1,
-        ..sess()
+        ..session()
     }
 }
 
-pub fn hand(of: impl IntoIterator<Item = Session>) -> SessionTable {
-    SessionTable { sessions: (1..).map(SessionId).zip(of).collect() }
+/// A table of these sessions with ids from 1.
+pub fn session_table(sessions: impl IntoIterator<Item = Session>) -> SessionTable {
+    SessionTable { sessions: (1..).map(SessionId).zip(sessions).collect() }
 }
 
-pub fn cold() -> ColdStartSettings {
+pub fn cold_start() -> ColdStartSettings {
     ColdStartSettings {
         duration: 10_000.0,
         initial_share: 0.5,
@@ -132,6 +136,6 @@
     }
 }
 
-pub fn budget() -> RetryBudget {
+pub fn retry_budget() -> RetryBudget {
     RetryBudget { free_retries: 1.0, retries_per_request: 0.2, window: 10_000.0 }
 }
