--- a/src/api.rs
+++ b/src/api.rs
@@ -5,11 +5,11 @@
 /// What to do with a session now.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Placement {
-    /// Send a SETUP to this server.
+    /// Send a SETUP to this server, and wait no longer than `timeout` for the answer.
     Setup { server: ServerId, rung: u8, timeout: Ms },
     /// Hold the session and ask again when it is due.
     NotYet,
-    /// Answer the viewer that all servers are busy.
+    /// Answer the viewer that no server has room, with the time to wait before it tries again.
     BusyReply { retry_after: Option<Ms> },
     /// Answer the viewer that the session is torn down: a SETUP may have run and must not be repeated.
     TornDown,
@@ -20,13 +20,21 @@
 /// How a SETUP, or the session that resulted from it, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SetupOutcome {
+    /// As intended: a session came to its end, or a probe was answered.
     Done,
+    /// The server answered with an error.
     Errored,
+    /// The server answered that it is busy.
     BusyReplied,
+    /// No answer within the time-out.
     TimedOut,
+    /// No connection to the server could be opened.
     NoConnection,
+    /// The connection or the session broke off.
     Broken,
+    /// The viewer left.
     Withdrawn,
+    /// The server certainly did not run the SETUP, and the reason is not a lack of a connection.
     NeverSent,
 }
 
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -635,8 +635,8 @@
 
     /// Estimates the load of the other fronts on an average server: that on the measured servers or, without
     /// any, the load if each front carries as much as this one. The others are also assumed to have added to
-    /// each server, not measured yet, what this front has added to all servers recently: in a crowd of
-    /// requests all fronts get their part, and all follow the same reports. If the crowd comes to this front
+    /// each server, not measured yet, what this front has added to all servers recently: in a burst of
+    /// requests all fronts get their part, and all follow the same reports. If the burst comes to this front
     /// alone, it avoids more servers than necessary.
     fn estimate_foreign_load(&mut self, table: &SessionTable, loads: &Loads, now: Ms) {
         let ready = self.fleet.servers.values().filter(|s| s.entry.state == ServerState::Ready).count();
@@ -682,7 +682,7 @@
 
     /// Whether one more session at its lowest rung fits a server's link and uplink with all sessions there at
     /// their lowest rungs. How far the other fronts' sessions can step down is taken from all sessions of
-    /// this front, as it has few on any one link. Guards against a crowd in which every viewer gets too
+    /// this front, as it has few on any one link. Guards against a burst in which every viewer gets too
     /// little to go on watching: a busy reply does less harm than one more session. It can turn viewers away
     /// for nothing while a measured shortage is already over. A link without a measurement turns nobody away.
     fn has_room(&self, table: &SessionTable, loads: &Loads, server: ServerId, new: &Session) -> bool {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -7,14 +7,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
     Ready,
+    /// Its sessions play on.
     Draining,
+    /// No longer in the list.
     Gone,
 }
 
 /// A link that sessions share: that of a server, or the uplink of a rack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SharedLink {
+    /// The link of a server.
     Link(ServerId),
+    /// The uplink of a rack.
     Uplink(RackId),
 }
 
@@ -36,6 +40,7 @@
     pub kind: KindIndex,
     pub cell: CellId,
     pub state: ServerState,
+    /// See [`WeightKind`](crate::settings::WeightKind) for its meaning.
     pub weight: f64,
     /// When the server's process started, if that is recent.
     pub started_at: Option<Ms>,
--- a/src/sessions.rs
+++ b/src/sessions.rs
@@ -18,6 +18,7 @@
     pub arrived_at: Ms,
     /// When the viewer gives up.
     pub viewer_deadline: Ms,
+    /// The current rung, or the group's lowest until a server is chosen.
     pub rung: u8,
     /// The server with its pending SETUP, or the one that plays it.
     pub server: Option<ServerId>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -70,9 +70,13 @@
 /// Meaning of a column of load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportColumn {
+    /// Streams that run or are being set up.
     Streams,
+    /// Demand on the server's link over its capacity.
     Link,
+    /// Demand on the rack's uplink over its capacity.
     Uplink,
+    /// Not used.
     Other,
 }
 
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -561,9 +561,9 @@
     went_to(&front.place(&mut session_table([Session { holders: cells(0, 2), ..session() }]), ONE, NOW))
 }
 
-#[test_case(0 => 2; "no crowd")]
+#[test_case(0 => 2; "no burst")]
 #[test_case(3 => 0; "three recent sessions at this front")]
-fn a_crowd_is_assumed_to_reach_all_fronts(recent: u32) -> u8 {
+fn a_burst_is_assumed_to_reach_all_fronts(recent: u32) -> u8 {
     let mut front = front(PolicySettings { front_count: 4, ..settings() });
     front.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.3);
     let recent_session = |_| Session { rate_changed_at: NOW - 100.0, ..playing(3, 2, NOW) };
@@ -586,8 +586,8 @@
     front.rung_changes.len()
 }
 
-/// Guards against overload by a crowd for a title that is heavier than the ladder: by the ladder's rates, all
-/// its sessions would fit.
+/// Guards against overload by a burst of requests for a title that is heavier than the ladder: by the
+/// ladder's rates, all its sessions would fit.
 #[test_case(None => 2; "unknown")]
 #[test_case(Some(vec![200.0, 400.0, 800.0]) => 1; "a heavy title starts lower")]
 #[test_case(Some(vec![50.0, 100.0, 150.0]) => 2; "a light title starts at the highest rung")]
@@ -749,7 +749,7 @@
     (went_to(&placement).is_some(), front.due_actions(&mut table, NOW).probes.len())
 }
 
-/// Guards against a crowd that is turned away at once and comes back at once.
+/// Guards against many viewers that are turned away at once and come back at once.
 #[test]
 fn viewers_turned_away_together_get_different_retry_times() {
     let mut front = front(settings());
