--- a/crates/desk/src/retry.rs
+++ b/crates/desk/src/backoff.rs
@@ -10,19 +10,19 @@
 
 /// Waits that grow with each failure in a row and are drawn by chance.
 #[derive(Debug, Clone, Default)]
-pub struct Retry {
+pub struct Backoff {
     fails: u32,
 }
 
-impl Retry {
+impl Backoff {
     /// The wait after one more failure, in milliseconds.
-    pub fn failed(&mut self, rng: &mut fastrand::Rng) -> Ms {
+    pub fn next_delay(&mut self, rng: &mut fastrand::Rng) -> Ms {
         let whole = (FIRST * 2f64.powi(self.fails.min(16) as i32)).min(LONGEST);
         self.fails = self.fails.saturating_add(1);
         whole * (JITTER_FROM + (1.0 - JITTER_FROM) * rng.f64())
     }
 
-    pub fn worked(&mut self) {
+    pub fn reset(&mut self) {
         self.fails = 0;
     }
 }
@@ -33,12 +33,12 @@
 
     #[test]
     fn waits_grow_to_the_longest_and_start_over() {
-        let (mut retry, mut rng) = (Retry::default(), fastrand::Rng::with_seed(1));
-        let waits: Vec<Ms> = (0..40).map(|_| retry.failed(&mut rng)).collect();
+        let (mut retry, mut rng) = (Backoff::default(), fastrand::Rng::with_seed(1));
+        let waits: Vec<Ms> = (0..40).map(|_| retry.next_delay(&mut rng)).collect();
         assert!((50.0..=100.0).contains(&waits[0]), "{waits:?}");
         assert!(waits[10..].iter().all(|w| (2_500.0..=5_000.0).contains(w)), "{waits:?}");
         assert!(waits[10..].windows(2).any(|w| w[0] != w[1]), "not drawn by chance: {waits:?}");
-        retry.worked();
-        assert!(retry.failed(&mut rng) <= 100.0);
+        retry.reset();
+        assert!(retry.next_delay(&mut rng) <= 100.0);
     }
 }
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -1,18 +1,18 @@
-//! The use of the decisions without input or output.
+//! Runs the placement decisions of a session front without input or output of its own.
 //!
-//! - [`desk`]: the module with its sessions in hand and its timer; the bench's adapter stands on it too.
-//! - [`live`]: the desk in service: viewers' requests, control connections to boxes, the list of boxes.
-//! - [`exchange`]: what the live desk is told and what it tells.
-//! - [`link`]: one control connection: what is out on it, and what each end of it proves.
-//! - [`follow`]: which events of the list may be applied.
-//! - [`retry`]: how long to wait before a connection is tried again.
-//! - [`stall`]: whether this process stood still, and what is not to be judged for it.
-//! - [`timers`]: what is due when.
-pub mod desk;
-pub mod exchange;
-pub mod follow;
-pub mod link;
-pub mod live;
-pub mod retry;
-pub mod stall;
-pub mod timers;
+//! - [`engine`]: the decisions with their sessions and their timer; the simulator's adapter uses it as well.
+//! - [`session_manager`]: viewers' requests, control connections to boxes and the server list of a live front.
+//! - [`api`]: the values that go into and come out of the session manager.
+//! - [`connection`]: the control connection to one box and the requests that are outstanding on it.
+//! - [`list_sequence`]: which events of the server list may be applied.
+//! - [`backoff`]: delays between attempts to connect.
+//! - [`stall_detector`]: whether this process was suspended, and how long time-outs are then deferred.
+//! - [`timer_queue`]: timers in the order in which they are due.
+pub mod api;
+pub mod backoff;
+pub mod connection;
+pub mod engine;
+pub mod list_sequence;
+pub mod session_manager;
+pub mod stall_detector;
+pub mod timer_queue;
--- a/crates/desk/src/stall.rs
+++ b/crates/desk/src/stall_detector.rs
@@ -10,14 +10,14 @@
 /// once, they would set sound boxes aside and send further SETUPs beside ones that were answered. So
 /// time-outs wait a moment; a viewer's own time is not held back by this.
 #[derive(Debug, Default)]
-pub struct Stall {
+pub struct StallDetector {
     due_at: Option<Ms>,
     grace_until: Option<Ms>,
 }
 
-impl Stall {
+impl StallDetector {
     /// The process wakes; returns how long it stood still, where it did.
-    pub fn woke(&mut self, now: Ms) -> Option<Ms> {
+    pub fn record_wakeup(&mut self, now: Ms) -> Option<Ms> {
         let late = now - self.due_at.take()?;
         if late < LATE {
             return None;
@@ -27,12 +27,12 @@
     }
 
     /// The process goes to sleep until then.
-    pub fn sleeps_until(&mut self, at: Ms) {
+    pub fn expect_wakeup_at(&mut self, at: Ms) {
         self.due_at = Some(at);
     }
 
     /// When time-outs may fire again, where they have to wait.
-    pub fn holds_back(&self, now: Ms) -> Option<Ms> {
+    pub fn timeouts_deferred_until(&self, now: Ms) -> Option<Ms> {
         self.grace_until.filter(|t| *t > now)
     }
 }
@@ -43,21 +43,21 @@
 
     #[test]
     fn only_a_late_wake_holds_time_outs_back() {
-        let mut s = Stall::default();
-        s.sleeps_until(1_000.0);
-        assert_eq!(s.woke(1_020.0), None);
-        assert_eq!(s.holds_back(1_020.0), None);
-        s.sleeps_until(1_100.0);
-        assert_eq!(s.woke(3_100.0), Some(2_000.0));
-        assert_eq!(s.holds_back(3_100.0), Some(3_140.0));
-        assert_eq!(s.holds_back(3_140.0), None);
+        let mut s = StallDetector::default();
+        s.expect_wakeup_at(1_000.0);
+        assert_eq!(s.record_wakeup(1_020.0), None);
+        assert_eq!(s.timeouts_deferred_until(1_020.0), None);
+        s.expect_wakeup_at(1_100.0);
+        assert_eq!(s.record_wakeup(3_100.0), Some(2_000.0));
+        assert_eq!(s.timeouts_deferred_until(3_100.0), Some(3_140.0));
+        assert_eq!(s.timeouts_deferred_until(3_140.0), None);
     }
 
     #[test]
     fn a_wake_before_its_time_is_no_stall() {
-        let mut s = Stall::default();
-        assert_eq!(s.woke(5.0), None);
-        s.sleeps_until(9_000.0);
-        assert_eq!(s.woke(40.0), None);
+        let mut s = StallDetector::default();
+        assert_eq!(s.record_wakeup(5.0), None);
+        s.expect_wakeup_at(9_000.0);
+        assert_eq!(s.record_wakeup(40.0), None);
     }
 }
--- a/crates/desk/src/timers.rs
+++ b/crates/desk/src/timer_queue.rs
@@ -33,29 +33,29 @@
     }
 }
 
-pub struct Timers<T> {
+pub struct TimerQueue<T> {
     heap: BinaryHeap<Entry<T>>,
     set: u64,
 }
 
-impl<T> Default for Timers<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        TimerQueue { heap: BinaryHeap::new(), set: 0 }
     }
 }
 
-impl<T> Timers<T> {
-    pub fn set(&mut self, at: Ms, what: T) {
+impl<T> TimerQueue<T> {
+    pub fn schedule(&mut self, at: Ms, what: T) {
         self.set += 1;
         self.heap.push(Entry { at, order: self.set, what });
     }
 
-    pub fn next_at(&self) -> Option<Ms> {
+    pub fn next_due_at(&self) -> Option<Ms> {
         self.heap.peek().map(|e| e.at)
     }
 
-    pub fn due(&mut self, now: Ms) -> Option<T> {
-        if self.next_at()? > now {
+    pub fn pop_due(&mut self, now: Ms) -> Option<T> {
+        if self.next_due_at()? > now {
             return None;
         }
         self.heap.pop().map(|e| e.what)
@@ -76,12 +76,12 @@
 
     #[test]
     fn due_by_time_then_by_order_of_setting() {
-        let mut t = Timers::default();
+        let mut t = TimerQueue::default();
         for (at, what) in [(5.0, 'c'), (1.0, 'a'), (5.0, 'd'), (3.0, 'b')] {
-            t.set(at, what);
+            t.schedule(at, what);
         }
-        assert_eq!(t.due(0.5), None);
-        let order: Vec<char> = std::iter::from_fn(|| t.due(5.0)).collect();
+        assert_eq!(t.pop_due(0.5), None);
+        let order: Vec<char> = std::iter::from_fn(|| t.pop_due(5.0)).collect();
         assert_eq!(order, ['a', 'b', 'c', 'd']);
     }
 }
--- a/crates/desk/tests/live.rs
+++ b/crates/desk/tests/session_manager.rs
@@ -7,10 +7,10 @@
 use walnutline::settings::{
     ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, RetryBudget, ServiceGroup, WeightKind,
 };
-use walnutline_desk::live::*;
+use walnutline_desk::session_manager::*;
 
 const BOXES: u32 = 4;
-const WAITS: Waits = Waits { connect: 300.0, probe: 200.0, silence: 5_000.0, way_back: 50.0 };
+const WAITS: Timeouts = Timeouts { connect: 300.0, probe: 200.0, max_silence: 5_000.0, answer_margin: 50.0 };
 const PATIENCE: Ms = 2_000.0;
 
 fn terms() -> PolicySettings {
@@ -51,7 +51,7 @@
     }
 }
 
-fn line(id: u32, listing: ServerState) -> BoxLine {
+fn line(id: u32, listing: ServerState) -> ServerEndpoint {
     let listed = ListEntry {
         id: ServerId(id),
         zone: ZoneIndex(0),
@@ -61,7 +61,7 @@
         weight: 1.0,
         started_at: None,
     };
-    BoxLine { listed, control: SocketAddr::from(([127, 0, 0, 1], 1_000 + id as u16)) }
+    ServerEndpoint { entry: listed, control_address: SocketAddr::from(([127, 0, 0, 1], 1_000 + id as u16)) }
 }
 
 /// What may happen next. Boxes and messages are picked from what is there.
@@ -100,7 +100,7 @@
 
 /// The world outside, and what was seen of the desk's doing.
 struct World {
-    live: Live<SessionId>,
+    live: SessionManager<SessionId>,
     now: Ms,
     next_id: u64,
     /// Connections being opened, and open ones.
@@ -121,7 +121,7 @@
 impl World {
     fn new() -> Self {
         let mut w = World {
-            live: Live::new(terms(), WAITS, 3, 0.0),
+            live: SessionManager::new(terms(), WAITS, 3, 0.0),
             now: 0.0,
             next_id: 1,
             opening: BTreeSet::new(),
@@ -135,35 +135,35 @@
             may_have_run: BTreeSet::new(),
             listing: (0..BOXES).map(|id| (id, ServerState::Ready)).collect(),
         };
-        w.live.listed_all((0..BOXES).map(|id| line(id, ServerState::Ready)).collect(), 0.0);
+        w.live.replace_server_list((0..BOXES).map(|id| line(id, ServerState::Ready)).collect(), 0.0);
         w.attend();
         w
     }
 
     fn attend(&mut self) {
-        self.live.attend(self.now);
-        for what in self.live.take() {
+        self.live.process_due(self.now);
+        for what in self.live.take_actions() {
             self.see(what);
         }
     }
 
-    fn see(&mut self, what: Do<SessionId>) {
+    fn see(&mut self, what: IoAction<SessionId>) {
         match what {
-            Do::Connect { server, conn, address } => {
+            IoAction::Connect { server, conn, address } => {
                 assert_eq!(address.port(), 1_000 + server.0 as u16);
                 assert!(!self.open.iter().any(|(s, _)| *s == server.0), "a second connection to {server:?}");
                 self.opening.insert((server.0, conn));
             }
-            Do::Close { server, conn } => self.gone(server.0, conn),
-            Do::Send { server, conn, cseq, what } => {
+            IoAction::Close { server, conn } => self.gone(server.0, conn),
+            IoAction::Send { server, conn, cseq, request: what } => {
                 assert!(self.open.contains(&(server.0, conn)), "sent on a connection that is not open");
                 let setup = match what {
-                    ToBox::Setup { id, of, .. } => {
+                    ServerRequest::Setup { id, context: of, .. } => {
                         assert_eq!(id, *of);
                         self.setup(id, server.0);
                         Some(id)
                     }
-                    ToBox::Teardown { session } => {
+                    ServerRequest::Teardown { session } => {
                         self.playing.remove(&session);
                         None
                     }
@@ -171,7 +171,7 @@
                 };
                 self.out.push((server.0, conn, cseq, setup));
             }
-            Do::Answer { id, answer, .. } => {
+            IoAction::Answer { id, answer, .. } => {
                 assert!(!self.left.contains(&id), "an answer to one who left");
                 assert!(self.answers.insert(id, (answer, self.now)).is_none(), "answered twice: {id:?}");
                 if matches!(answer, Answer::Busy { .. }) && self.asked[&id].2 == 1 {
@@ -181,7 +181,7 @@
                     );
                 }
             }
-            Do::Log(_) => {}
+            IoAction::Log(_) => {}
         }
     }
 
@@ -217,27 +217,27 @@
                 self.next_id += 1;
                 let named: BTreeSet<u32> = (0..BOXES).filter(|b| holders >> b & 1 == 1).collect();
                 self.asked.insert(id, (self.now, named.clone(), group));
-                let ask = Ask {
+                let ask = SessionRequest {
                     group: GroupIndex(group),
                     title: TitleId(u64::from(holders)),
                     holders: named.into_iter().map(ServerId).collect(),
-                    rates: None,
-                    top: 1,
-                    left: PATIENCE,
+                    rates_kb_per_s: None,
+                    highest_rung: 1,
+                    time_left: PATIENCE,
                 };
-                self.live.asked(id, ask, id, self.now);
+                self.live.add_request(id, ask, id, self.now);
             }
             Event::Leave(n) => {
                 let waiting = self.asked.keys().filter(|id| !self.answers.contains_key(id)).copied();
                 if let Some(id) = Self::pick(waiting, n) {
                     self.left.insert(id);
-                    self.live.left(id, self.now);
+                    self.live.viewer_left(id, self.now);
                 }
             }
             Event::Open(n) => {
                 if let Some((server, conn)) = Self::pick(self.opening.iter().copied(), n) {
                     self.opening.remove(&(server, conn));
-                    if self.live.connected(ServerId(server), conn, self.now) {
+                    if self.live.connection_opened(ServerId(server), conn, self.now) {
                         self.open.insert((server, conn));
                     }
                 }
@@ -245,7 +245,7 @@
             Event::Fail(n) => {
                 if let Some((server, conn)) = Self::pick(self.opening.iter().copied(), n) {
                     self.opening.remove(&(server, conn));
-                    self.live.not_connected(ServerId(server), conn, self.now);
+                    self.live.connection_failed(ServerId(server), conn, self.now);
                 }
             }
             Event::Close { which, begun } => {
@@ -258,7 +258,7 @@
                         .collect();
                     self.surely_not(&never);
                     self.gone(server, conn);
-                    self.live.closed(ServerId(server), conn, begun, self.now);
+                    self.live.connection_closed(ServerId(server), conn, begun, self.now);
                 }
             }
             Event::Reply { which, how } => {
@@ -268,43 +268,52 @@
                 self.out.retain(|o| (o.0, o.1, o.2) != (server, conn, cseq));
                 let session = format!("{server}-{conn}-{cseq}");
                 let outcome = match how {
-                    0 => Outcome::Busy,
-                    1 => Outcome::Error,
-                    _ => Outcome::Done { session: setup.map(|_| session.clone()) },
+                    0 => ResponseStatus::Busy,
+                    1 => ResponseStatus::Error,
+                    _ => ResponseStatus::Success { session: setup.map(|_| session.clone()) },
                 };
                 match (&outcome, setup) {
-                    (Outcome::Done { .. }, Some(id)) => {
+                    (ResponseStatus::Success { .. }, Some(id)) => {
                         self.playing.insert(session, (server, conn, id));
                     }
-                    (Outcome::Busy, Some(id)) => self.surely_not(&[id]),
+                    (ResponseStatus::Busy, Some(id)) => self.surely_not(&[id]),
                     _ => {}
                 }
-                let report =
-                    Report { streams: Some(f64::from(how)), link: Some(0.2 * f64::from(how)), uplink: None };
-                let told = FromBox::Reply { cseq, outcome, report };
-                self.live.told(ServerId(server), conn, told, self.now);
+                let report = LoadReport {
+                    streams: Some(f64::from(how)),
+                    link_use: Some(0.2 * f64::from(how)),
+                    uplink_use: None,
+                };
+                let told = ServerMessage::Response { cseq, status: outcome, report };
+                self.live.message_received(ServerId(server), conn, told, self.now);
             }
             Event::Unasked { which, cseq } => {
                 if let Some((server, conn)) = Self::pick(self.open.iter().copied(), which) {
                     if self.out.iter().any(|o| (o.0, o.1, o.2) == (server, conn, cseq)) {
                         return;
                     }
-                    let outcome = Outcome::Done { session: Some("made up".into()) };
-                    let told = FromBox::Reply { cseq, outcome, report: Report::default() };
-                    self.live.told(ServerId(server), conn, told, self.now);
+                    let outcome = ResponseStatus::Success { session: Some("made up".into()) };
+                    let told =
+                        ServerMessage::Response { cseq, status: outcome, report: LoadReport::default() };
+                    self.live.message_received(ServerId(server), conn, told, self.now);
                 }
             }
             Event::Over(n) => {
                 if let Some(name) = Self::pick(self.playing.keys().cloned(), n) {
                     let (server, conn, _) = self.playing.remove(&name).unwrap();
-                    self.live.told(ServerId(server), conn, FromBox::Over { session: name }, self.now);
+                    self.live.message_received(
+                        ServerId(server),
+                        conn,
+                        ServerMessage::SessionEnded { session: name },
+                        self.now,
+                    );
                 }
             }
             Event::List { id, listing } => {
                 let listing =
                     [ServerState::Ready, ServerState::Draining, ServerState::Gone][listing as usize];
                 self.listing.insert(id, listing);
-                self.live.listed(vec![line(id, listing)], self.now);
+                self.live.update_servers(vec![line(id, listing)], self.now);
             }
             Event::WholeList(mask) => {
                 let here: Vec<u32> = (0..BOXES).filter(|b| mask >> b & 1 == 1).collect();
@@ -312,8 +321,10 @@
                     let listing = if here.contains(&id) { ServerState::Ready } else { ServerState::Gone };
                     self.listing.insert(id, listing);
                 }
-                self.live
-                    .listed_all(here.into_iter().map(|id| line(id, ServerState::Ready)).collect(), self.now);
+                self.live.replace_server_list(
+                    here.into_iter().map(|id| line(id, ServerState::Ready)).collect(),
+                    self.now,
+                );
             }
             Event::Wait(ms) => self.wait(ms),
         }
@@ -334,7 +345,7 @@
     fn wait(&mut self, ms: Ms) {
         let until = self.now + ms;
         loop {
-            let next = self.live.next_at(self.now);
+            let next = self.live.next_call_at(self.now);
             if next > until {
                 break;
             }
@@ -362,9 +373,9 @@
                 None => prop_assert!(w.left.contains(id), "{id:?} has no answer"),
             }
         }
-        prop_assert_eq!(w.live.owed(), 0);
+        prop_assert_eq!(w.live.unanswered_count(), 0);
         // What plays at a box that the desk does not know of is torn down or was never its.
-        prop_assert_eq!(w.live.playing(), w.playing.len());
+        prop_assert_eq!(w.live.playing_count(), w.playing.len());
     }
 }
 
@@ -405,8 +416,8 @@
     assert_eq!(w.setups[&id].len(), 1, "no time-out is counted on waking");
     w.now += 5.0;
     w.happen(Event::Reply { which: at, how: 2 });
-    assert!(matches!(w.answers[&id].0, Answer::Plays { .. }));
-    assert_eq!(w.live.playing(), 1);
+    assert!(matches!(w.answers[&id].0, Answer::Playing { .. }));
+    assert_eq!(w.live.playing_count(), 1);
 }
 
 #[test]
@@ -432,9 +443,9 @@
     };
     w.wait(700.0);
     let late = w.out.iter().position(|o| (o.0, o.1, o.2) == (server, conn, cseq)).unwrap();
-    let playing = w.live.playing();
+    let playing = w.live.playing_count();
     w.happen(Event::Reply { which: late, how: 2 });
-    assert_eq!(w.live.playing(), playing);
+    assert_eq!(w.live.playing_count(), playing);
     assert!(!w.playing.contains_key(&format!("{server}-{conn}-{cseq}")), "it was torn down");
 }
 
@@ -445,7 +456,7 @@
     let id = ask(&mut w);
     until_setup(&mut w, id);
     let open = w.open.len();
-    w.wait(3.0 * WAITS.silence);
+    w.wait(3.0 * WAITS.max_silence);
     assert!(w.open.len() < open, "still open: {:?}", w.open);
 }
 
@@ -456,10 +467,10 @@
     let id = ask(&mut w);
     let at = until_setup(&mut w, id);
     w.happen(Event::Reply { which: at, how: 2 });
-    assert_eq!((w.live.playing(), w.playing.len()), (1, 1));
-    w.live.left(id, w.now);
+    assert_eq!((w.live.playing_count(), w.playing.len()), (1, 1));
+    w.live.viewer_left(id, w.now);
     w.attend();
-    assert_eq!((w.live.playing(), w.playing.len()), (0, 0), "a TEARDOWN was sent");
+    assert_eq!((w.live.playing_count(), w.playing.len()), (0, 0), "a TEARDOWN was sent");
 }
 
 #[test]
@@ -472,27 +483,27 @@
     w.happen(Event::Reply { which: at, how: 2 });
     let old = line(server, ServerState::Ready);
     let started = Some(w.now);
-    let new = BoxLine {
-        listed: ListEntry { started_at: started, ..old.listed },
-        control: SocketAddr::from(([127, 0, 0, 2], old.control.port())),
+    let new = ServerEndpoint {
+        entry: ListEntry { started_at: started, ..old.entry },
+        control_address: SocketAddr::from(([127, 0, 0, 2], old.control_address.port())),
     };
-    w.live.listed(vec![new], w.now);
-    w.live.attend(w.now);
-    let told: Vec<String> = w.live.take().iter().map(|d| format!("{d:?}")).collect();
+    w.live.update_servers(vec![new], w.now);
+    w.live.process_due(w.now);
+    let told: Vec<String> = w.live.take_actions().iter().map(|d| format!("{d:?}")).collect();
     assert!(told.iter().any(|d| d.starts_with("Close")), "{told:?}");
-    assert_eq!(w.live.playing(), 0, "what played at the old one is over");
+    assert_eq!(w.live.playing_count(), 0, "what played at the old one is over");
     // The module probes a box that it has set aside. It must not have set the new process aside.
     let (mut connected, mut probed) = (false, false);
     for step in 1..200 {
         let now = w.now + 10.0 * f64::from(step);
-        w.live.attend(now);
-        for what in w.live.take() {
+        w.live.process_due(now);
+        for what in w.live.take_actions() {
             match what {
-                Do::Connect { server: s, conn, address } if s.0 == server => {
+                IoAction::Connect { server: s, conn, address } if s.0 == server => {
                     assert_eq!(address.ip().to_string(), "127.0.0.2");
-                    connected = w.live.connected(s, conn, now);
+                    connected = w.live.connection_opened(s, conn, now);
                 }
-                Do::Send { server: s, what: ToBox::Probe, .. } => probed |= s.0 == server,
+                IoAction::Send { server: s, request: ServerRequest::Probe, .. } => probed |= s.0 == server,
                 _ => {}
             }
         }
--- a/crates/front/src/body.rs
+++ b/crates/front/src/body.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use walnutline_desk::live::Waits;
+use walnutline_desk::session_manager::Timeouts;
 
 /// Longest header of an answer.
 const HEADER: usize = 16 * 1024;
@@ -26,11 +26,11 @@
 
 impl Body {
     /// Asks; `header`: further lines of it. Returns once the header of a good answer is read.
-    pub fn open(at: SocketAddr, path: &str, header: &str, waits: Waits) -> io::Result<Body> {
+    pub fn open(at: SocketAddr, path: &str, header: &str, waits: Timeouts) -> io::Result<Body> {
         let within = |ms: f64| Duration::from_secs_f64(ms / 1_000.0);
         let mut stream = TcpStream::connect_timeout(&at, within(waits.connect))?;
-        stream.set_read_timeout(Some(within(waits.silence)))?;
-        stream.set_write_timeout(Some(within(waits.silence)))?;
+        stream.set_read_timeout(Some(within(waits.max_silence)))?;
+        stream.set_write_timeout(Some(within(waits.max_silence)))?;
         stream.write_all(format!("GET {path} HTTP/1.0\r\nHost: {at}\r\n{header}\r\n").as_bytes())?;
         let (mut bytes, mut head) = (vec![0; READ + HEADER], Vec::new());
         let end = loop {
@@ -53,7 +53,7 @@
             first: head.split_off(end),
             wait: Duration::ZERO,
             heard: Instant::now(),
-            silence: within(waits.silence),
+            silence: within(waits.max_silence),
         };
         body.wait_at_most(BEAT)?;
         Ok(body)
--- a/crates/front/src/boxes.rs
+++ b/crates/front/src/boxes.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use walnutline::ids::ServerId;
 use walnutline_control::rtsp::{self, Ask, Message, Reader};
-use walnutline_desk::live::{FromBox, Outcome, Report, ToBox};
+use walnutline_desk::session_manager::{LoadReport, ResponseStatus, ServerMessage, ServerRequest};
 
 pub enum Out {
     Ask {
         cseq: u32,
-        what: ToBox<Ticket>,
+        what: ServerRequest<Ticket>,
     },
     /// The answer to a message of the box.
     Reply {
@@ -129,20 +129,22 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-fn ask(shared: &Shared, server: ServerId, what: ToBox<Ticket>) -> Option<Ask> {
+fn ask(shared: &Shared, server: ServerId, what: ServerRequest<Ticket>) -> Option<Ask> {
     Some(match what {
-        ToBox::Setup { id, of, rung } => Ask::Setup {
+        ServerRequest::Setup { id, context: of, rung } => Ask::Setup {
             title: of.title.clone(),
             group: shared.groups[of.group].name.clone(),
             rung,
             front_session: id.0,
             token: of.session_token(shared, server, shared.clock.now())?,
         },
-        ToBox::Probe => Ask::Get([rtsp::STREAMS, rtsp::LINK, rtsp::UPLINK].map(str::to_owned).to_vec()),
-        ToBox::Rung { session, rung } => {
+        ServerRequest::Probe => {
+            Ask::Get([rtsp::STREAMS, rtsp::LINK, rtsp::UPLINK].map(str::to_owned).to_vec())
+        }
+        ServerRequest::SetRung { session, rung } => {
             Ask::Set { session: Some(session), figures: vec![(rtsp::RUNG.to_owned(), f64::from(rung))] }
         }
-        ToBox::Teardown { session } => Ask::Teardown { session },
+        ServerRequest::Teardown { session } => Ask::Teardown { session },
     })
 }
 
@@ -179,25 +181,25 @@
     }
 }
 
-fn told(message: Message, out: &mpsc::Sender<Out>) -> Option<FromBox> {
+fn told(message: Message, out: &mpsc::Sender<Out>) -> Option<ServerMessage> {
     match message {
         Message::Reply { cseq, status, session, figures } => {
             let outcome = match status {
-                200..=299 => Outcome::Done { session },
-                rtsp::NOT_ENOUGH_BANDWIDTH | rtsp::SERVICE_UNAVAILABLE => Outcome::Busy,
+                200..=299 => ResponseStatus::Success { session },
+                rtsp::NOT_ENOUGH_BANDWIDTH | rtsp::SERVICE_UNAVAILABLE => ResponseStatus::Busy,
                 // Not final: the answer is still to come.
                 100..=199 => return None,
-                _ => Outcome::Error,
+                _ => ResponseStatus::Error,
             };
-            Some(FromBox::Reply { cseq, outcome, report: report(&figures) })
+            Some(ServerMessage::Response { cseq, status: outcome, report: report(&figures) })
         }
         Message::Ask { cseq, ask } => {
             let (status, told) = match ask {
                 Ask::Set { figures, .. } => match figures.iter().find(|(n, _)| n == rtsp::SHARE) {
-                    Some((_, share)) => (200, Some(FromBox::Share(*share))),
-                    None => (200, Some(FromBox::News(report(&figures)))),
+                    Some((_, share)) => (200, Some(ServerMessage::DeliveredShare(*share))),
+                    None => (200, Some(ServerMessage::LoadReport(report(&figures)))),
                 },
-                Ask::Teardown { session } => (200, Some(FromBox::Over { session })),
+                Ask::Teardown { session } => (200, Some(ServerMessage::SessionEnded { session })),
                 _ => (501, None),
             };
             let _ = out.send(Out::Reply { cseq, status });
@@ -206,7 +208,7 @@
     }
 }
 
-fn report(figures: &[(String, f64)]) -> Report {
+fn report(figures: &[(String, f64)]) -> LoadReport {
     let find = |name: &str| figures.iter().find(|(n, _)| n == name).map(|(_, v)| *v);
-    Report { streams: find(rtsp::STREAMS), link: find(rtsp::LINK), uplink: find(rtsp::UPLINK) }
+    LoadReport { streams: find(rtsp::STREAMS), link_use: find(rtsp::LINK), uplink_use: find(rtsp::UPLINK) }
 }
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -17,8 +17,8 @@
 use walnutline_catalogue::{follow, keep, snapshot, wire};
 use walnutline_catalogue_store::{write_snapshot, Fault, Part, Store};
 use walnutline_control::events::{Event, Reader};
-use walnutline_desk::live::Waits;
-use walnutline_desk::retry::Retry;
+use walnutline_desk::backoff::Backoff;
+use walnutline_desk::session_manager::Timeouts;
 use walnutline_settings::CatalogueTerms;
 
 /// Bytes of a snapshot that are worked at in one piece.
@@ -58,7 +58,7 @@
 struct Keeper {
     known: Arc<Known>,
     clock: Clock,
-    waits: Waits,
+    waits: Timeouts,
     writer: Writer,
     /// Without it the catalogue is kept in memory alone.
     store: Option<Store>,
@@ -70,7 +70,7 @@
 
 /// Starts to read the store and then to follow. The front serves meanwhile, without a catalogue until it is read; a store
 /// that cannot be read is told of, and the front goes on without it.
-pub fn start(terms: CatalogueTerms, clock: Clock, waits: Waits, seed: u64) -> io::Result<Arc<Known>> {
+pub fn start(terms: CatalogueTerms, clock: Clock, waits: Timeouts, seed: u64) -> io::Result<Arc<Known>> {
     let writer = Writer::default();
     let known = Arc::new(Known { current: writer.current(), terms, differences: Mutex::default() });
     let mut keeper = Keeper {
@@ -125,7 +125,7 @@
                 std::thread::sleep(BEAT);
             }
         };
-        let (mut retry, mut rng) = (Retry::default(), fastrand::Rng::with_seed(seed.rotate_left(16)));
+        let (mut retry, mut rng) = (Backoff::default(), fastrand::Rng::with_seed(seed.rotate_left(16)));
         loop {
             let done = match self.follow.next() {
                 Next::Whole => self.whole(at, &format!("{path}/snapshot")),
@@ -136,7 +136,7 @@
                 Ok(()) => "the changes after ours are no longer to be had".into(),
                 Err(e) => e.to_string(),
             };
-            let wait = retry.failed(&mut rng);
+            let wait = retry.next_delay(&mut rng);
             tracing::info!(target: "walnutline::mode", "catalogue away why={why:?} again_in={wait:.0}");
             let until = self.clock.now() + wait;
             while self.clock.now() < until {
@@ -227,7 +227,7 @@
         Ok(())
     }
 
-    fn changes(&mut self, at: SocketAddr, path: &str, after: u64, retry: &mut Retry) -> io::Result<()> {
+    fn changes(&mut self, at: SocketAddr, path: &str, after: u64, retry: &mut Backoff) -> io::Result<()> {
         let mut body = Body::open(at, path, &format!("Last-Event-ID: {after}\r\n"), self.waits)?;
         let mut events = Reader::default();
         loop {
@@ -247,7 +247,7 @@
                     }
                     // A stream that breaks at its first change has not worked.
                     if self.follow.due().is_none() {
-                        retry.worked();
+                        retry.reset();
                     }
                 }
                 // What was heard whole before its end is in force too.
@@ -263,7 +263,7 @@
             }
             if self.follow.due().is_some_and(|t| t <= self.clock.now()) {
                 self.apply()?;
-                retry.worked();
+                retry.reset();
             }
             self.beat();
         }
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -14,7 +14,9 @@
 use walnutline_catalogue::advice::Advisor;
 use walnutline_catalogue::differ::Told;
 use walnutline_catalogue::version::Version;
-use walnutline_desk::live::{Answer, Ask, BoxLine, Do, FromBox, Live, Waits};
+use walnutline_desk::session_manager::{
+    Answer, IoAction, ServerEndpoint, ServerMessage, SessionManager, SessionRequest, Timeouts,
+};
 use walnutline_gate::claims::SessionClaims;
 
 /// Events handled before what they lead to goes out.
@@ -70,7 +72,7 @@
 
 pub enum News {
     Asked {
-        ask: Ask,
+        ask: SessionRequest,
         ticket: Ticket,
         /// The catalogue's version that the request is answered by.
         known: Option<Arc<Version>>,
@@ -98,11 +100,11 @@
     Told {
         server: ServerId,
         conn: u64,
-        told: FromBox,
+        told: ServerMessage,
     },
     List {
         whole: bool,
-        lines: Vec<(BoxLine, String)>,
+        lines: Vec<(ServerEndpoint, String)>,
     },
 }
 
@@ -123,7 +125,7 @@
 
 struct Hub {
     shared: Arc<Shared>,
-    live: Live<Ticket>,
+    live: SessionManager<Ticket>,
     media: HashMap<ServerId, Arc<str>>,
     lines: HashMap<ServerId, (u64, Line)>,
     advisor: Option<Advisor>,
@@ -138,10 +140,10 @@
     shared: Arc<Shared>,
     news: Receiver<News>,
     terms: PolicySettings,
-    waits: Waits,
+    waits: Timeouts,
     seed: u64,
 ) -> io::Result<()> {
-    let live = Live::new(terms, waits, seed, shared.clock.now());
+    let live = SessionManager::new(terms, waits, seed, shared.clock.now());
     let advisor = shared.catalogue.as_ref().map(|k| Advisor::new(k.terms.price));
     let mut hub =
         Hub { shared, live, media: HashMap::new(), lines: HashMap::new(), advisor, differed: (0.0, false) };
@@ -169,7 +171,7 @@
         let clock: Clock = self.shared.clock;
         loop {
             let now = clock.now();
-            let wait = (self.live.next_at(now) - now).clamp(0.0, 60_000.0);
+            let wait = (self.live.next_call_at(now) - now).clamp(0.0, 60_000.0);
             match news.recv_timeout(Duration::from_secs_f64(wait / 1_000.0)) {
                 Ok(first) => {
                     self.event(first, clock.now());
@@ -181,8 +183,8 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.ask_news(clock.now());
-            self.live.attend(clock.now());
-            for what in self.live.take() {
+            self.live.process_due(clock.now());
+            for what in self.live.take_actions() {
                 self.perform(what);
             }
         }
@@ -195,48 +197,48 @@
                     self.advise(&v, &ask, &ticket, now);
                 }
                 // What passed since it was read, in queues or in a stall, counts against its viewer's time.
-                ask.left -= now - ticket.at;
-                self.live.asked(ticket.id, ask, ticket, now);
+                ask.time_left -= now - ticket.at;
+                self.live.add_request(ticket.id, ask, ticket, now);
             }
-            News::Left(id) => self.live.left(id, now),
+            News::Left(id) => self.live.viewer_left(id, now),
             News::Renew { id, to } => {
-                let plays = self.live.plays(id).and_then(|(server, rung, ticket)| {
+                let plays = self.live.playing_session(id).and_then(|(server, rung, ticket)| {
                     Some(Plays { ticket, server, rung, media: self.media.get(&server)?.clone() })
                 });
                 let _ = to.send(Msg::Answer(id, plays.map_or(Reply::Over, Reply::Plays)));
             }
             News::Connected { server, conn, line } => {
-                if self.live.connected(server, conn, now) {
+                if self.live.connection_opened(server, conn, now) {
                     self.lines.insert(server, (conn, line));
                 } else {
                     line.shut();
                 }
             }
-            News::NotConnected { server, conn } => self.live.not_connected(server, conn, now),
+            News::NotConnected { server, conn } => self.live.connection_failed(server, conn, now),
             News::Closed { server, conn, begun } => {
-                self.live.closed(server, conn, begun, now);
+                self.live.connection_closed(server, conn, begun, now);
                 if self.lines.get(&server).is_some_and(|(c, _)| *c == conn) {
                     self.lines.remove(&server);
                 }
             }
-            News::Told { server, conn, told } => self.live.told(server, conn, told, now),
+            News::Told { server, conn, told } => self.live.message_received(server, conn, told, now),
             News::List { whole, lines } => {
                 let lines = lines.into_iter().map(|(line, media)| {
-                    self.media.insert(line.listed.id, media.into());
+                    self.media.insert(line.entry.id, media.into());
                     line
                 });
                 let lines = lines.collect();
                 if whole {
-                    self.live.listed_all(lines, now)
+                    self.live.replace_server_list(lines, now)
                 } else {
-                    self.live.listed(lines, now)
+                    self.live.update_servers(lines, now)
                 }
             }
         }
     }
 
     /// What the catalogue has to say of a request, and it of the catalogue.
-    fn advise(&mut self, v: &Version, ask: &Ask, ticket: &Ticket, now: f64) {
+    fn advise(&mut self, v: &Version, ask: &SessionRequest, ticket: &Ticket, now: f64) {
         let Some(advisor) = &mut self.advisor else { return };
         let group = &self.shared.groups[ticket.group].name;
         let rungs = self.shared.ladder.len();
@@ -256,42 +258,42 @@
         }
         if advisor.may_ask(now) {
             if let Some(v) = known.load() {
-                let servers = advisor.worth(&v, |s| self.live.heard_at(s), now);
-                self.live.ask_news(servers, now);
+                let servers = advisor.worth(&v, |s| self.live.link_measured_at(s), now);
+                self.live.probe_servers(servers, now);
             }
         }
     }
 
-    fn perform(&mut self, what: Do<Ticket>) {
+    fn perform(&mut self, what: IoAction<Ticket>) {
         match what {
-            Do::Connect { server, conn, address } => {
+            IoAction::Connect { server, conn, address } => {
                 boxes::connect(self.shared.clone(), server, conn, address)
             }
-            Do::Close { server, conn } => {
+            IoAction::Close { server, conn } => {
                 if let Some((_, line)) = self.lines.get(&server).filter(|(c, _)| *c == conn) {
                     line.shut();
                     self.lines.remove(&server);
                 }
             }
-            Do::Send { server, conn, cseq, what } => {
+            IoAction::Send { server, conn, cseq, request: what } => {
                 if let Some((c, line)) = self.lines.get(&server) {
                     if *c == conn {
                         let _ = line.out.send(Out::Ask { cseq, what });
                     }
                 }
             }
-            Do::Answer { id, of, answer } => {
+            IoAction::Answer { id, context: of, answer } => {
                 let reply = match answer {
-                    Answer::Plays { server, rung } => {
+                    Answer::Playing { server, rung } => {
                         let media = self.media.get(&server).cloned().unwrap_or_else(|| "".into());
                         Reply::Plays(Plays { ticket: of.clone(), server, rung, media })
                     }
-                    Answer::Busy { come_back } => Reply::Busy { come_back },
+                    Answer::Busy { retry_after } => Reply::Busy { come_back: retry_after },
                     Answer::TornDown => Reply::TornDown,
                 };
                 let _ = of.to.send(Msg::Answer(id, reply));
             }
-            Do::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
+            IoAction::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
         }
     }
 }
--- a/crates/front/src/list.rs
+++ b/crates/front/src/list.rs
@@ -11,20 +11,26 @@
 use walnutline::ids::{CellId, KindIndex, ServerId, ZoneIndex};
 use walnutline_control::events::{Event, Reader};
 use walnutline_control::list::{self, Line, State};
-use walnutline_desk::follow::{Follow, Sort, Verdict};
-use walnutline_desk::live::{BoxLine, Waits};
-use walnutline_desk::retry::Retry;
+use walnutline_desk::backoff::Backoff;
+use walnutline_desk::list_sequence::{EventKind, ListSequence, Verdict};
+use walnutline_desk::session_manager::{ServerEndpoint, Timeouts};
 
-pub fn start(shared: Arc<Shared>, at: SocketAddr, path: String, waits: Waits, seed: u64) -> io::Result<()> {
+pub fn start(
+    shared: Arc<Shared>,
+    at: SocketAddr,
+    path: String,
+    waits: Timeouts,
+    seed: u64,
+) -> io::Result<()> {
     let follow_it = move || {
         let (mut follow, mut retry, mut rng) =
-            (Follow::default(), Retry::default(), fastrand::Rng::with_seed(seed.rotate_left(32)));
+            (ListSequence::default(), Backoff::default(), fastrand::Rng::with_seed(seed.rotate_left(32)));
         loop {
             let why = match stream(&shared, at, &path, waits, &mut follow, &mut retry) {
                 Ok(()) => "its end".to_owned(),
                 Err(e) => e.to_string(),
             };
-            let wait = retry.failed(&mut rng);
+            let wait = retry.next_delay(&mut rng);
             tracing::info!(target: "walnutline::mode", "list away why={why:?} again_in={wait:.0}");
             std::thread::sleep(Duration::from_secs_f64(wait / 1_000.0));
         }
@@ -37,11 +43,11 @@
     shared: &Shared,
     at: SocketAddr,
     path: &str,
-    waits: Waits,
-    follow: &mut Follow,
-    retry: &mut Retry,
+    waits: Timeouts,
+    follow: &mut ListSequence,
+    retry: &mut Backoff,
 ) -> io::Result<()> {
-    let resume = follow.resume().map_or(String::new(), |n| format!("Last-Event-ID: {n}\r\n"));
+    let resume = follow.resume_after().map_or(String::new(), |n| format!("Last-Event-ID: {n}\r\n"));
     let mut body = Body::open(at, path, &format!("Accept: text/event-stream\r\n{resume}"), waits)?;
     let mut events = Reader::default();
     loop {
@@ -51,24 +57,24 @@
             Got::End => return Ok(()),
         };
         let heard = events.push(&body.bytes[..n]).map_err(|e| {
-            follow.unreadable();
+            follow.discard_position();
             io::Error::other(e.to_string())
         })?;
         for event in heard {
             take(shared, event, follow)?;
-            retry.worked();
+            retry.reset();
         }
     }
 }
 
-fn take(shared: &Shared, event: Event, follow: &mut Follow) -> io::Result<()> {
+fn take(shared: &Shared, event: Event, follow: &mut ListSequence) -> io::Result<()> {
     let sort = match event.name.as_str() {
-        list::WHOLE => Sort::Whole,
-        list::CHANGES => Sort::Changes,
+        list::WHOLE => EventKind::Snapshot,
+        list::CHANGES => EventKind::Changes,
         _ => return Ok(()),
     };
-    let unreadable = |follow: &mut Follow, why: String| {
-        follow.unreadable();
+    let unreadable = |follow: &mut ListSequence, why: String| {
+        follow.discard_position();
         tracing::error!("list: event {:?}: {why}", event.id);
         Err(io::Error::other(why))
     };
@@ -79,18 +85,18 @@
         Ok(list) => list,
         Err(why) => return unreadable(follow, why),
     };
-    match follow.heard(number, sort) {
+    match follow.accept(number, sort) {
         Verdict::Apply => {
             let lines = list.boxes.into_iter().map(line).collect();
-            let _ = shared.hub.send(News::List { whole: sort == Sort::Whole, lines });
+            let _ = shared.hub.send(News::List { whole: sort == EventKind::Snapshot, lines });
             Ok(())
         }
-        Verdict::Repeat => Ok(()),
+        Verdict::Duplicate => Ok(()),
         Verdict::Gap => Err(io::Error::other(format!("a gap before event {number}"))),
     }
 }
 
-fn line(line: Line) -> (BoxLine, String) {
+fn line(line: Line) -> (ServerEndpoint, String) {
     let listed = ListEntry {
         id: ServerId(line.id),
         zone: ZoneIndex(line.building.into()),
@@ -105,5 +111,5 @@
         weight: line.weight,
         started_at: line.started,
     };
-    (BoxLine { listed, control: line.control }, line.media)
+    (ServerEndpoint { entry: listed, control_address: line.control }, line.media)
 }
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -15,7 +15,7 @@
 use walnutline::ids::{GroupIndex, ServerId, SessionId, TitleId};
 use walnutline_catalogue::advice;
 use walnutline_catalogue::version::Version;
-use walnutline_desk::live::Ask;
+use walnutline_desk::session_manager::SessionRequest;
 use walnutline_gate::claims::Claims;
 use walnutline_gate::verdict::Refusal;
 
@@ -292,7 +292,7 @@
                 // The one version that all of this request is answered by.
                 let known = shared.catalogue.as_ref().and_then(|k| k.load());
                 let rates = known.as_ref().and_then(|v| self.rates(v, &title));
-                let ask = Ask { rates: rates.clone(), ..ask };
+                let ask = SessionRequest { rates_kb_per_s: rates.clone(), ..ask };
                 let ticket = Ticket::new(id, title, group, request.at, rates, self.inbox.clone());
                 shared.in_hand.fetch_add(1, Ordering::SeqCst);
                 let _ = shared.hub.send(News::Asked { ask, ticket, known });
@@ -306,20 +306,20 @@
     }
 
     /// A request that was let in, as the desk takes it, and its title.
-    fn ask(&self, claims: &Claims, request: &Request) -> Result<(Ask, String), Refusal> {
+    fn ask(&self, claims: &Claims, request: &Request) -> Result<(SessionRequest, String), Refusal> {
         let groups = &self.shared.groups;
         let group = groups.iter().position(|g| g.name == claims.group).ok_or(Refusal::UnknownGroup)?;
         let of_query = |name: &str| http::query(&request.query, name).and_then(|v| v.parse::<f64>().ok());
         let patience = groups[group].patience;
         let top = of_query("top").map_or(u8::MAX, |t| t.clamp(0.0, 255.0) as u8);
         let title = title(&claims.path);
-        let ask = Ask {
+        let ask = SessionRequest {
             group: GroupIndex(group as u16),
             title: title_id(&title),
             holders: claims.holders.iter().map(|h| ServerId(*h)).collect(),
-            rates: None,
-            top: top.min(claims.top.unwrap_or(u8::MAX)).min(groups[group].top),
-            left: of_query("wait").filter(|w| *w > 0.0).map_or(patience, |w| w.min(patience)),
+            rates_kb_per_s: None,
+            highest_rung: top.min(claims.top.unwrap_or(u8::MAX)).min(groups[group].top),
+            time_left: of_query("wait").filter(|w| *w > 0.0).map_or(patience, |w| w.min(patience)),
         };
         Ok((ask, title))
     }
--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/answers.rs
@@ -20,7 +20,7 @@
             (s.heard, s.said, s.process) = (now, now, opened);
             // A connection of before, on which something comes long after: what looked like an end was none.
             if opened < s.broke && now - s.broke > limits::ON_ITS_WAY {
-                self.desk.lives(server, opened);
+                self.desk.confirm_alive(server, opened);
             }
         }
         loop {
@@ -54,7 +54,7 @@
                 self.reported(server, &report, now);
                 if what == Some(Test::Probe) {
                     let ending = if status < 300 { SetupOutcome::Done } else { SetupOutcome::Errored };
-                    self.desk.probed(server, ending, now);
+                    self.desk.probe_finished(server, ending, now);
                 }
             }
             ServerMessage::Teardown { id, cause, cseq, report } => {
@@ -68,10 +68,10 @@
                     return self.early_note(SessionId(id), note, figure, now);
                 }
                 match note {
-                    Quantity::DeliveredShare => self.desk.share_heard(server, figure, now),
-                    Quantity::Rung => self.desk.rung_told(SessionId(id), figure.clamp(0.0, 255.0) as u8),
-                    Quantity::LinkUse => self.desk.link_heard(server, figure, now),
-                    Quantity::UplinkUse => self.desk.uplink_heard(server, figure, now),
+                    Quantity::DeliveredShare => self.desk.record_delivered_share(server, figure, now),
+                    Quantity::Rung => self.desk.set_rung(SessionId(id), figure.clamp(0.0, 255.0) as u8),
+                    Quantity::LinkUse => self.desk.record_link_use(server, figure, now),
+                    Quantity::UplinkUse => self.desk.record_uplink_use(server, figure, now),
                 }
             }
             ServerMessage::TeardownResponse { id } => {
@@ -91,7 +91,7 @@
     }
 
     fn is_early(&self, id: SessionId, kept: usize, now: Ms) -> bool {
-        let early = now - self.desk.front.started_at < limits::EARLY && kept < limits::EARLY_NOTES;
+        let early = now - self.desk.state.started_at < limits::EARLY && kept < limits::EARLY_NOTES;
         early && !self.sess.contains_key(&id)
     }
 
@@ -100,7 +100,7 @@
         if !report.is_empty() {
             let value = |c: &String| report.iter().find(|(name, _)| name == c).map_or(f64::NAN, |(_, v)| *v);
             let values: Vec<f64> = self.told.report_columns.iter().map(value).collect();
-            self.desk.report(server, &values, now);
+            self.desk.record_report(server, &values, now);
         }
     }
 
@@ -152,7 +152,7 @@
             v.used = now;
         }
         self.dos.push(Do::Write { conn: from, bytes: viewer::setup_response(id.0, description) });
-        self.desk.started(id, now);
+        self.desk.session_started(id, now);
     }
 
     /// A server tells that a session is over, or that a set-up broke. It may tell so more than once.
--- a/crates/node/src/core/care.rs
+++ b/crates/node/src/core/care.rs
@@ -9,30 +9,30 @@
 impl Node {
     /// When [`Node::attend`] is to be called next at the latest.
     pub fn next_at(&self, now: Ms) -> Ms {
-        let held_back = self.stall.holds_back(now).unwrap_or(Ms::NEG_INFINITY);
-        self.timers.next_at().map_or(self.again_at, |t| t.max(held_back).min(self.again_at))
+        let held_back = self.stall.timeouts_deferred_until(now).unwrap_or(Ms::NEG_INFINITY);
+        self.timers.next_due_at().map_or(self.again_at, |t| t.max(held_back).min(self.again_at))
     }
 
     /// Does what is due; to be called after each round of events and whenever [`Node::next_at`] has come.
     pub fn attend(&mut self, now: Ms) {
         self.clock = now;
-        if let Some(late) = self.stall.woke(now) {
+        if let Some(late) = self.stall.record_wakeup(now) {
             self.dos.push(Do::Log(format!("stalled for={late:.0}")));
         }
-        if self.stall.holds_back(now).is_none() {
-            while let Some(due) = self.timers.due(now) {
+        if self.stall.timeouts_deferred_until(now).is_none() {
+            while let Some(due) = self.timers.pop_due(now) {
                 self.fire(due, now);
                 self.settle(now);
             }
         }
-        self.desk.rang(now);
+        self.desk.timer_fired(now);
         // A session that is placed and held again waits for a probe or a time that only a further call tells.
-        if self.desk.attend(now, &mut self.actions) {
+        if self.desk.process_due(now, &mut self.actions) {
             self.settle(now);
-            self.desk.attend(now, &mut self.actions);
+            self.desk.process_due(now, &mut self.actions);
         }
         self.settle(now);
-        self.stall.sleeps_until(self.next_at(now));
+        self.stall.expect_wakeup_at(self.next_at(now));
     }
 
     fn fire(&mut self, due: Due, now: Ms) {
@@ -51,18 +51,18 @@
             }
             Due::End => {
                 self.end_if_due(now);
-                self.timers.set(now + limits::END_LOOK, Due::End);
+                self.timers.schedule(now + limits::END_LOOK, Due::End);
             }
             Due::Sweep => {
                 self.sweep_viewers(now);
                 self.sweep_servers(now);
                 self.forget();
-                if now - self.desk.front.started_at > limits::EARLY {
+                if now - self.desk.state.started_at > limits::EARLY {
                     self.early_rungs.clear();
                     self.early_ends.clear();
                 }
                 self.owed.retain(|o| now - o.since < limits::RELEASE_KEPT);
-                self.timers.set(now + limits::SWEEP, Due::Sweep);
+                self.timers.schedule(now + limits::SWEEP, Due::Sweep);
             }
         }
     }
@@ -130,7 +130,7 @@
     pub fn stop(&mut self, at: Ms) {
         if self.stopping.is_none() {
             self.stopping = Some(at);
-            self.timers.set(at + limits::LAST_REQUESTS, Due::End);
+            self.timers.schedule(at + limits::LAST_REQUESTS, Due::End);
             self.dos.push(Do::Log(format!("stopping sessions={}", self.sess.len())));
         }
     }
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/list.rs
@@ -8,7 +8,7 @@
 use walnutline::api::SetupOutcome;
 use walnutline::fleet::{ListEntry, ServerState};
 use walnutline::ids::{CellId, KindIndex, Ms, ServerId, SessionId, ZoneIndex};
-use walnutline_desk::retry::Retry;
+use walnutline_desk::backoff::Backoff;
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::{discovery, ServerRecord};
 
@@ -104,7 +104,7 @@
         let mut listed = Vec::new();
         for n in self.zones_told..self.told.zones.len() {
             let name = &self.told.zones[n];
-            let fleet = self.desk.front.fleet.servers.values();
+            let fleet = self.desk.state.fleet.servers.values();
             let used = fleet.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == n);
             if !used && lines.iter().all(|l| l.zone != *name) {
                 self.told.zones[n] = String::new();
@@ -134,7 +134,7 @@
                 self.cut(id, now);
             }
         }
-        self.desk.listed_all(listed);
+        self.desk.replace_server_list(listed);
         self.call_back(now);
     }
 
@@ -199,7 +199,7 @@
             broke: Ms::NEG_INFINITY,
             parted: Ms::NEG_INFINITY,
             fails: 0,
-            retry: Retry::default(),
+            retry: Backoff::default(),
         };
         self.servers.insert(id, server);
         id
@@ -208,7 +208,7 @@
     /// Servers gone from the list that nothing refers to any more are forgotten.
     pub(super) fn forget(&mut self) {
         let Node { servers, by_name, desk, .. } = self;
-        let in_use: BTreeSet<ServerId> = desk.hand.sessions.values().filter_map(|s| s.server).collect();
+        let in_use: BTreeSet<ServerId> = desk.sessions.sessions.values().filter_map(|s| s.server).collect();
         servers.retain(|id, s| {
             let keep = s.listing != ServerState::Gone
                 || !s.lines.is_empty()
@@ -216,7 +216,7 @@
                 || in_use.contains(id);
             if !keep {
                 by_name.remove(&s.name);
-                desk.front.fleet.servers.remove(id);
+                desk.state.fleet.servers.remove(id);
             }
             keep
         });
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -25,9 +25,9 @@
 use walnutline::api::SetupOutcome;
 use walnutline::ids::{Ms, ServerId, SessionId};
 use walnutline::settings::{ListDelivery, PolicySettings};
-use walnutline_desk::desk::{Action, Desk};
-use walnutline_desk::stall::Stall;
-use walnutline_desk::timers::Timers;
+use walnutline_desk::engine::{Action, DecisionEngine};
+use walnutline_desk::stall_detector::StallDetector;
+use walnutline_desk::timer_queue::TimerQueue;
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::viewer::{self, SetupRequest};
 
@@ -82,7 +82,7 @@
 }
 
 pub struct Node {
-    pub desk: Desk,
+    pub desk: DecisionEngine,
     /// Names of the settings by their positions, and the waits that the settings state.
     told: Configuration,
     /// Zones that the settings name; further ones come with the list.
@@ -102,8 +102,8 @@
     early_rungs: BTreeMap<SessionId, u8>,
     early_ends: BTreeMap<SessionId, (ServerId, Option<u32>)>,
     names: Names,
-    timers: Timers<Due>,
-    stall: Stall,
+    timers: TimerQueue<Due>,
+    stall: StallDetector,
     rng: fastrand::Rng,
     next_server: u32,
     next_conn: u64,
@@ -130,7 +130,7 @@
         let servers = told.servers.clone();
         let most_viewers = limits::viewers(told.max_sockets, servers.len());
         let mut node = Node {
-            desk: Desk::new(terms, told.seed, now),
+            desk: DecisionEngine::new(terms, told.seed, now),
             zones_told: told.zones.len(),
             sess: BTreeMap::new(),
             viewers: BTreeMap::new(),
@@ -144,8 +144,8 @@
             early_rungs: BTreeMap::new(),
             early_ends: BTreeMap::new(),
             names: Names::new(told.name_service, told.server_list_serial),
-            timers: Timers::default(),
-            stall: Stall::default(),
+            timers: TimerQueue::default(),
+            stall: StallDetector::default(),
             rng: fastrand::Rng::with_seed(told.seed ^ 0x6e6f_6465),
             next_server: 0,
             next_conn: 0,
@@ -158,7 +158,7 @@
             told,
         };
         node.listed(servers, now);
-        node.timers.set(now + limits::SWEEP, Due::Sweep);
+        node.timers.schedule(now + limits::SWEEP, Due::Sweep);
         Ok(node)
     }
 
@@ -213,16 +213,16 @@
             next += 1;
             match action {
                 Action::Setup { id, server, timeout, .. } => self.setup(id, server, timeout, now),
-                Action::Rung { id, rung } => self.rung(id, rung),
+                Action::SetRung { id, rung } => self.rung(id, rung),
                 Action::Probe { server } => self.probe(server, now),
-                Action::AskList => self.ask_list(),
-                Action::BusyReply { id, come_back } => {
+                Action::RequestList => self.ask_list(),
+                Action::BusyReply { id, retry_after: come_back } => {
                     self.answer(id, viewer::busy_response(id.0, come_back))
                 }
                 Action::TornDown { id } => self.answer(id, viewer::setup_failed_response(id.0)),
-                Action::Tell(news) => self.tell(&news, now),
+                Action::SendPeerReports(news) => self.tell(&news, now),
                 Action::Log(line) => self.dos.push(Do::Log(line)),
-                Action::AgainAt(at) => self.again_at = at,
+                Action::CallAt(at) => self.again_at = at,
             }
         }
         self.actions.clear();
@@ -243,7 +243,7 @@
     fn setup_ended(&mut self, id: SessionId, ending: SetupOutcome, now: Ms) {
         if let Some(Session { stage: Stage::Asked { out, .. }, .. }) = self.sess.get_mut(&id) {
             *out = None;
-            self.desk.ended(id, ending, false, now, &mut self.actions);
+            self.desk.after_outcome(id, ending, false, now, &mut self.actions);
         }
     }
 
@@ -258,6 +258,6 @@
         if let Some(cause) = cause {
             self.release(id.0, from, cause, now);
         }
-        self.desk.ended(id, ending, true, now, &mut self.actions);
+        self.desk.after_outcome(id, ending, true, now, &mut self.actions);
     }
 }
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -56,6 +56,6 @@
                 s.heard = s.heard.max(now - n.age);
             }
         }
-        self.desk.peer_told(&news, now);
+        self.desk.record_peer_reports(&news, now);
     }
 }
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/servers.rs
@@ -7,7 +7,7 @@
 use walnutline::api::SetupOutcome;
 use walnutline::fleet::ServerState;
 use walnutline::ids::{Ms, ServerId, SessionId};
-use walnutline_desk::retry::Retry;
+use walnutline_desk::backoff::Backoff;
 use walnutline_platform::headers;
 use walnutline_platform::rtsp::MessageReader;
 use walnutline_platform::server;
@@ -34,7 +34,7 @@
     pub parted: Ms,
     /// Connections in a row that did not come up.
     pub fails: u32,
-    pub retry: Retry,
+    pub retry: Backoff,
 }
 
 /// A message on a session that waits for a connection to its server.
@@ -122,7 +122,7 @@
             used: now,
         };
         self.lines.insert(conn, line);
-        self.timers.set(now + self.told.connect_timeout_ms, Due::Connecting { conn });
+        self.timers.schedule(now + self.told.connect_timeout_ms, Due::Connecting { conn });
         self.dos.push(Do::Connect { conn, address });
         Some(conn)
     }
@@ -169,11 +169,11 @@
         let (server, waiting, probes) = (line.server, line.out.clone(), std::mem::take(&mut line.probes));
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.fails = 0;
-        s.retry.worked();
+        s.retry.reset();
         // Connections reset, and taken again at once: a process that ends is gone for longer. What another node
         // heard may be the new one already.
         if now - s.said < limits::SAME_PROCESS {
-            self.desk.lives(server, Ms::NEG_INFINITY);
+            self.desk.confirm_alive(server, Ms::NEG_INFINITY);
         }
         // It was to tell whether a silent machine is there, and has told: a process that stands still for long
         // would else gather one more with each test.
@@ -233,8 +233,8 @@
                 // What the server sent on it may be lost; releases are sent again on the next one opened.
                 self.connect(server, now);
             } else if let Some(s) = self.servers.get_mut(&server) {
-                let wait = s.retry.failed(&mut self.rng);
-                self.timers.set(now + wait, Due::Reconnect { server });
+                let wait = s.retry.next_delay(&mut self.rng);
+                self.timers.schedule(now + wait, Due::Reconnect { server });
             }
         }
         let ending = match (line.up, end) {
@@ -247,7 +247,7 @@
             self.setup_ended(id, if line.up && !written { SetupOutcome::NeverSent } else { ending }, now);
         }
         let probes = line.tests.values().filter(|t| **t == Test::Probe).count() as u32 + line.probes;
-        (0..probes).for_each(|_| self.desk.probed(server, ending, now));
+        (0..probes).for_each(|_| self.desk.probe_finished(server, ending, now));
     }
 
     /// All that stood at a server is over.
@@ -305,7 +305,7 @@
         if let Stage::Asked { out, .. } = &mut sess.stage {
             *out = Some(Out { server, line: conn, no, written: false });
         }
-        self.timers.set(now + timeout, Due::Setup { id, no });
+        self.timers.schedule(now + timeout, Due::Setup { id, no });
         if let Some(line) = self.lines.get_mut(&conn) {
             line.out.insert(id);
             if line.up {
@@ -335,7 +335,7 @@
     /// The bytes of a SETUP that goes out now, with the rung that the module has set and the time that is
     /// left of its time-out; `None` where it is not wanted any more.
     pub fn send_setup(&mut self, id: SessionId, no: u32, now: Ms) -> Option<Vec<u8>> {
-        let rung = self.desk.hand.sessions.get(&id).map_or(0, |s| s.rung);
+        let rung = self.desk.sessions.sessions.get(&id).map_or(0, |s| s.rung);
         let sess = self.sess.get_mut(&id)?;
         let Stage::Asked { wanted, out: Some(out), .. } = &mut sess.stage else { return None };
         if out.no != no || out.written || now >= sess.until {
@@ -440,7 +440,7 @@
             Test::Probe => (self.told.probe_timeout_ms, server::load_probe_request(id)),
             Test::There => (limits::TEST_WAIT, server::ping_request(id)),
         };
-        self.timers.set(now + wait, Due::Test { conn, id });
+        self.timers.schedule(now + wait, Due::Test { conn, id });
         self.dos.push(Do::Write { conn, bytes });
     }
 
@@ -449,7 +449,7 @@
         let Some(line) = self.lines.get_mut(&conn) else { return };
         let server = line.server;
         match line.tests.remove(&id) {
-            Some(Test::Probe) => self.desk.probed(server, SetupOutcome::TimedOut, now),
+            Some(Test::Probe) => self.desk.probe_finished(server, SetupOutcome::TimedOut, now),
             Some(Test::There)
                 if self.servers.get(&server).is_some_and(|s| now - s.heard > limits::TEST_AFTER) =>
             {
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewers.rs
@@ -199,7 +199,7 @@
         self.ledger.taken += 1;
         let stage = Stage::Asked { from: conn, wanted: Box::new(w), out: None };
         self.sess.insert(id, Session { stage, setups: 0, until: now });
-        self.desk.asked(id, request, now, &mut self.actions);
+        self.desk.add_request(id, request, now, &mut self.actions);
         self.hand_out_owed(conn);
         Ok(())
     }
@@ -267,9 +267,9 @@
         s.standing.insert(id);
         let stage = Stage::Stands { from: Some(conn), server, since: now };
         self.sess.insert(id, Session { stage, setups: 0, until: now });
-        self.desk.under_way(id, request, server, now);
+        self.desk.add_running_session(id, request, server, now);
         if let Some(rung) = self.early_rungs.remove(&id) {
-            self.desk.rung_told(id, rung);
+            self.desk.set_rung(id, rung);
         }
         self.keep_up(server, now);
     }
@@ -300,11 +300,11 @@
     pub(super) fn left(&mut self, id: SessionId, now: Ms) {
         let Some(Session { stage: Stage::Asked { out, .. }, .. }) = self.sess.remove(&id) else { return };
         self.ledger.given_up += 1;
-        self.desk.left(id);
+        self.desk.viewer_left(id);
         if let Some(out) = out {
             self.give_up(id, out);
             let ending = if out.written { SetupOutcome::Withdrawn } else { SetupOutcome::NeverSent };
-            self.desk.ended(id, ending, true, now, &mut self.actions);
+            self.desk.after_outcome(id, ending, true, now, &mut self.actions);
         }
     }
 
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -10,7 +10,7 @@
 };
 use walnutline_catalogue::news::Price;
 use walnutline_dash::{from_base64, SigningKey, VerifyingKey};
-use walnutline_desk::live::Waits;
+use walnutline_desk::session_manager::Timeouts;
 use walnutline_gate::keys::{Entry, Ring};
 use walnutline_gate::verdict::Admission;
 use walnutline_gate::UnixMs;
@@ -137,14 +137,14 @@
         pipelined: f.whole(v.pipelined, "pipelined", 1.0, 64.0) as usize,
         write_time: f.time(v.write_time, "write-time"),
     };
-    let waits = Waits {
+    let waits = Timeouts {
         connect: f.time(d.waits.connect, "connect"),
         probe: f.time(d.waits.probe, "probe"),
-        silence: f.time(d.waits.silence, "silence"),
-        way_back: f.within(d.waits.way_back, "way-back", 0.0, 10_000.0),
+        max_silence: f.time(d.waits.silence, "silence"),
+        answer_margin: f.within(d.waits.way_back, "way-back", 0.0, 10_000.0),
     };
     for g in &d.groups {
-        if g.setup_timeout.value <= waits.way_back {
+        if g.setup_timeout.value <= waits.answer_margin {
             f.tell(g.setup_timeout.at, "setup-timeout: must be longer than way-back");
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,7 +11,7 @@
 use walnutline::settings::PolicySettings;
 use walnutline_catalogue::news::Price;
 use walnutline_dash::{SigningKey, VerifyingKey};
-use walnutline_desk::live::Waits;
+use walnutline_desk::session_manager::Timeouts;
 use walnutline_gate::keys::Ring;
 use walnutline_gate::verdict::Admission;
 
@@ -26,7 +26,7 @@
     pub list_path: String,
     pub seed: Option<u64>,
     pub terms: PolicySettings,
-    pub waits: Waits,
+    pub waits: Timeouts,
     /// Service groups by name, in the order of the terms, with the time that viewers wait.
     pub groups: Vec<(String, Ms)>,
     pub viewers: ViewerLimits,
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -5,11 +5,11 @@
 use walnutline::fleet::{ListEntry, ServerState};
 use walnutline::ids::{CellId, GroupIndex, KindIndex, Ms, ServerId, SessionId, TitleId, ZoneIndex};
 use walnutline::settings::PolicySettings;
-use walnutline_desk::desk::{Action, Desk};
+use walnutline_desk::engine::{Action, DecisionEngine};
 
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u32, Desk>,
+    instances: BTreeMap<u32, DecisionEngine>,
     pages: BTreeMap<u16, Vec<ListEntry>>,
 }
 
@@ -37,7 +37,7 @@
         for who in touched {
             if let Some(desk) = self.instances.get_mut(&who) {
                 let mut actions = Vec::new();
-                desk.attend(frame.clock, &mut actions);
+                desk.process_due(frame.clock, &mut actions);
                 write(&mut reply, who, actions);
             }
         }
@@ -66,7 +66,7 @@
             let mut terms = PolicySettings::parse(info).map_err(|e| format!("settings: {e}"))?;
             // This adapter carries no messages between fronts.
             terms.peer_messages_allowed = false;
-            self.instances.insert(who, Desk::new(terms, seed, now));
+            self.instances.insert(who, DecisionEngine::new(terms, seed, now));
             return Ok(Some(who));
         }
         let pages = &self.pages;
@@ -84,15 +84,15 @@
                 };
                 match (known, list) {
                     (None, _) => {}
-                    (Some(i), None) => i.list_failed(now),
+                    (Some(i), None) => i.list_call_failed(now),
                     (Some(i), Some(list)) => {
                         match form {
-                            0 => list.iter().for_each(|l| i.listed(l.clone())),
-                            _ => i.listed_all(list.clone()),
+                            0 => list.iter().for_each(|l| i.update_server(l.clone())),
+                            _ => i.replace_server_list(list.clone()),
                         }
                         // The list as it was last held answers nothing.
                         if form != 2 {
-                            i.list_told();
+                            i.list_received();
                         }
                     }
                 }
@@ -105,13 +105,13 @@
                 let (title, home, left, span) = (r.u64()?, r.f32()?, r.f64()?, r.f32()?);
                 if let Some(i) = known {
                     let request = request(i, group, title, home, span, top, left)?;
-                    i.asked(id, request, now, &mut actions);
+                    i.add_request(id, request, now, &mut actions);
                 }
             }
             4 => {
                 let (id, _leg, _server, _took) = (SessionId(r.u64()?), r.u16()?, r.u32()?, r.f64()?);
                 if let Some(i) = known {
-                    i.started(id, now);
+                    i.session_started(id, now);
                 }
             }
             5 => {
@@ -120,20 +120,20 @@
                 let load = values(r)?;
                 let ending = ending(how)?;
                 if let Some(i) = known {
-                    i.ended(id, ending, over != 0, now, &mut actions);
-                    i.report(server, &load, now);
+                    i.after_outcome(id, ending, over != 0, now, &mut actions);
+                    i.record_report(server, &load, now);
                 }
             }
             6 => {
                 let id = SessionId(r.u64()?);
                 if let Some(i) = known {
-                    i.left(id);
+                    i.viewer_left(id);
                 }
             }
             7 => {
                 let _name = r.u64()?;
                 if let Some(i) = known {
-                    i.rang(now);
+                    i.timer_fired(now);
                 }
             }
             8 => {
@@ -141,8 +141,8 @@
                 let load = values(r)?;
                 let ending = ending(how)?;
                 if let Some(i) = known {
-                    i.report(server, &load, now);
-                    i.probed(server, ending, now);
+                    i.record_report(server, &load, now);
+                    i.probe_finished(server, ending, now);
                 }
             }
             9 => {
@@ -159,7 +159,7 @@
                 let server = ServerId(r.u32()?);
                 if let Some(i) = known {
                     let request = request(i, group, title, home, span, top, left)?;
-                    i.under_way(id, request, server, now);
+                    i.add_running_session(id, request, server, now);
                 }
             }
             _ => {
@@ -167,10 +167,10 @@
                 let (_leg, x) = (r.u16()?, r.f32()? as f64);
                 if let Some(i) = known {
                     match sort {
-                        1 => i.share_heard(server, x, now),
-                        2 => i.rung_told(id, x as u8),
-                        3 => i.link_heard(server, x, now),
-                        4 => i.uplink_heard(server, x, now),
+                        1 => i.record_delivered_share(server, x, now),
+                        2 => i.set_rung(id, x as u8),
+                        3 => i.record_link_use(server, x, now),
+                        4 => i.record_uplink_use(server, x, now),
                         _ => return Err(format!("unknown kind of note {sort}")),
                     }
                 }
@@ -182,7 +182,7 @@
 }
 
 fn request(
-    desk: &Desk,
+    desk: &DecisionEngine,
     group: u16,
     title: u64,
     home: f32,
@@ -190,7 +190,7 @@
     top: f32,
     left: Ms,
 ) -> Result<Request, String> {
-    if group as usize >= desk.front.settings.service_groups.len() {
+    if group as usize >= desk.state.settings.service_groups.len() {
         return Err(format!("class {group} is not in the settings"));
     }
     Ok(Request {
@@ -211,27 +211,27 @@
                 reply.record(6, who).put(&id).put(&[rung]);
                 reply.record(4, who).put(&id).put(&timeout.to_le_bytes()).put(&server.0.to_le_bytes());
             }
-            Action::Rung { id, rung } => {
+            Action::SetRung { id, rung } => {
                 reply.record(6, who).put(&id.0.to_le_bytes()).put(&[rung]);
             }
             Action::Probe { server } => {
                 reply.record(7, who).put(&server.0.to_le_bytes());
             }
-            Action::BusyReply { id, come_back } => {
-                let come_back = come_back.unwrap_or(0.0).to_le_bytes();
-                reply.record(2, who).put(&id.0.to_le_bytes()).put(&come_back);
+            Action::BusyReply { id, retry_after } => {
+                let retry_after = retry_after.unwrap_or(0.0).to_le_bytes();
+                reply.record(2, who).put(&id.0.to_le_bytes()).put(&retry_after);
             }
             Action::TornDown { id } => {
                 reply.record(8, who).put(&id.0.to_le_bytes());
             }
-            Action::Tell(_) => {}
-            Action::AskList => {
+            Action::SendPeerReports(_) => {}
+            Action::RequestList => {
                 reply.record(10, who).put(&[1]);
             }
             Action::Log(line) => {
                 reply.record(11, who).put(&(line.len() as u16).to_le_bytes()).put(line.as_bytes());
             }
-            Action::AgainAt(t) => {
+            Action::CallAt(t) => {
                 reply.record(13, who).put(&0u64.to_le_bytes()).put(&t.to_le_bytes());
             }
         }
