--- a/crates/front/src/boxes.rs
+++ b/crates/front/src/boxes.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use walnutline::ids::ServerId;
 use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
-use walnutline_desk::live::{FromBox, Outcome, Report, ToBox};
+use walnutline_desk::session_manager::{LoadReport, ResponseStatus, ServerMessage, ServerRequest};
 
 pub enum Out {
     Ask {
         cseq: u32,
-        what: ToBox<Ticket>,
+        what: ServerRequest<Ticket>,
     },
     /// The answer to a message of the box.
     Reply {
@@ -129,23 +129,23 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-fn ask(shared: &Shared, server: ServerId, what: ToBox<Ticket>) -> Option<ControlRequest> {
+fn ask(shared: &Shared, server: ServerId, what: ServerRequest<Ticket>) -> Option<ControlRequest> {
     Some(match what {
-        ToBox::Setup { id, of, rung } => ControlRequest::Setup {
+        ServerRequest::Setup { id, context: of, rung } => ControlRequest::Setup {
             title: of.title.clone(),
             service_group: shared.groups[of.group].name.clone(),
             rung,
             front_session: id.0,
             token: of.session_token(shared, server, shared.clock.now())?,
         },
-        ToBox::Probe => ControlRequest::GetParameter(
+        ServerRequest::Probe => ControlRequest::GetParameter(
             [rtsp::STREAMS, rtsp::LINK_USE, rtsp::UPLINK_USE].map(str::to_owned).to_vec(),
         ),
-        ToBox::Rung { session, rung } => ControlRequest::SetParameter {
+        ServerRequest::SetRung { session, rung } => ControlRequest::SetParameter {
             session: Some(session),
             parameters: vec![(rtsp::RUNG.to_owned(), f64::from(rung))],
         },
-        ToBox::Teardown { session } => ControlRequest::Teardown { session },
+        ServerRequest::Teardown { session } => ControlRequest::Teardown { session },
     })
 }
 
@@ -182,27 +182,27 @@
     }
 }
 
-fn told(message: Message, out: &mpsc::Sender<Out>) -> Option<FromBox> {
+fn told(message: Message, out: &mpsc::Sender<Out>) -> Option<ServerMessage> {
     match message {
         Message::Response { cseq, status, session, parameters } => {
             let outcome = match status {
-                200..=299 => Outcome::Done { session },
-                rtsp::NOT_ENOUGH_BANDWIDTH | rtsp::SERVICE_UNAVAILABLE => Outcome::Busy,
+                200..=299 => ResponseStatus::Success { session },
+                rtsp::NOT_ENOUGH_BANDWIDTH | rtsp::SERVICE_UNAVAILABLE => ResponseStatus::Busy,
                 // Not final: the answer is still to come.
                 100..=199 => return None,
-                _ => Outcome::Error,
+                _ => ResponseStatus::Error,
             };
-            Some(FromBox::Reply { cseq, outcome, report: report(&parameters) })
+            Some(ServerMessage::Response { cseq, status: outcome, report: report(&parameters) })
         }
         Message::Request { cseq, request } => {
             let (status, told) = match request {
                 ControlRequest::SetParameter { parameters, .. } => {
                     match parameters.iter().find(|(n, _)| n == rtsp::DELIVERED_SHARE) {
-                        Some((_, share)) => (200, Some(FromBox::Share(*share))),
-                        None => (200, Some(FromBox::News(report(&parameters)))),
+                        Some((_, share)) => (200, Some(ServerMessage::DeliveredShare(*share))),
+                        None => (200, Some(ServerMessage::LoadReport(report(&parameters)))),
                     }
                 }
-                ControlRequest::Teardown { session } => (200, Some(FromBox::Over { session })),
+                ControlRequest::Teardown { session } => (200, Some(ServerMessage::SessionEnded { session })),
                 _ => (501, None),
             };
             let _ = out.send(Out::Reply { cseq, status });
@@ -211,7 +211,11 @@
     }
 }
 
-fn report(figures: &[(String, f64)]) -> Report {
+fn report(figures: &[(String, f64)]) -> LoadReport {
     let find = |name: &str| figures.iter().find(|(n, _)| n == name).map(|(_, v)| *v);
-    Report { streams: find(rtsp::STREAMS), link: find(rtsp::LINK_USE), uplink: find(rtsp::UPLINK_USE) }
+    LoadReport {
+        streams: find(rtsp::STREAMS),
+        link_use: find(rtsp::LINK_USE),
+        uplink_use: find(rtsp::UPLINK_USE),
+    }
 }
