--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -226,7 +226,7 @@
     let mut first = deaf(&b);
     let room = (0..2_000).take_while(|_| fill(&mut first)).count();
     let mut slow = deaf(&b);
-    let sent = room - limits::BACKLOG / BODY / 2;
+    let sent = room - limits::MAX_BACKLOG_BYTES / BODY / 2;
     assert!((0..sent).all(|_| fill(&mut slow)));
     b.signal("-TERM");
     let told = Instant::now();
@@ -463,7 +463,7 @@
     first.says(&reply(200, 1, 1, "b=2\r\n"));
     viewer.hears();
     let began = Instant::now();
-    while began.elapsed() < Duration::from_millis(limits::RENUMBERED as u64 + 700) {
+    while began.elapsed() < Duration::from_millis(limits::SERIAL_RESET_TIME as u64 + 700) {
         told(&b.names, 2, "s-0000000b.depot-a.hosts", at);
     }
     follows(&b, anew, 2);
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -83,7 +83,7 @@
         }
         assert!(inside.len() < 120, "there is a place for everyone");
     };
-    sleep_until(told + ms(limits::LONGEST_STOP as u64 + limits::LAST_SESSIONS as u64 + 100));
+    sleep_until(told + ms(limits::MAX_SHUTDOWN_WAIT as u64 + limits::SHUTDOWN_SESSION_GRACE as u64 + 100));
     let mut answered = Vec::new();
     for (viewer, id, mut at) in inside {
         at.says(&(reply(200, 1, id, "b=2\r\n") + &teardown(id, Some(31))));
--- a/crates/cli/tests/sockets.rs
+++ b/crates/cli/tests/sockets.rs
@@ -33,7 +33,11 @@
     }
     // Longer than one of them may take to come up.
     std::thread::sleep(Duration::from_millis(600));
-    assert!(descriptors(&b) <= before + limits::LINES, "{} after {before}", descriptors(&b));
+    assert!(
+        descriptors(&b) <= before + limits::MAX_CONNECTIONS_PER_SERVER,
+        "{} after {before}",
+        descriptors(&b)
+    );
     drop(filled);
 }
 
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/actions.rs
@@ -4,41 +4,41 @@
 
 /// One TCP connection; numbers are never used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Do {
+pub enum IoAction {
     Connect {
-        conn: ConnId,
+        conn: ConnectionId,
         address: SocketAddr,
     },
     Write {
-        conn: ConnId,
+        conn: ConnectionId,
         bytes: Vec<u8>,
     },
-    /// A SETUP may go out, if its viewer is still there. [`crate::core::Node::offered`] tells whose it is and
+    /// A SETUP may go out, if its viewer is still there. [`crate::core::Node::offered_setup_connections`] tells whose it is and
     /// where it goes by then, [`crate::core::Node::send_setup`] makes it, and
-    /// [`crate::core::Node::setup_stuck`] is told that the connection takes nothing now.
-    Setup {
+    /// [`crate::core::Node::setup_blocked`] is told that the connection takes nothing now.
+    OfferSetup {
         id: SessionId,
-        no: u32,
+        attempt: u32,
     },
     /// After what was written; nothing more of it is told or taken.
     Close {
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// A viewer's connection on which nothing is open may be closed, if nothing more of it is on its way in
-    /// or out: answered by [`crate::core::Node::closed`] or by [`crate::core::Node::stays`].
-    Retire {
-        conn: ConnId,
+    /// or out: answered by [`crate::core::Node::connection_closed`] or by [`crate::core::Node::connection_in_use`].
+    CloseIfIdle {
+        conn: ConnectionId,
     },
     /// A datagram to the name service.
-    Query {
+    SendListQuery {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
     /// A datagram to all other front nodes.
-    Tell {
+    SendPeerReports {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
@@ -52,7 +52,7 @@
 
 /// How a connection came to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     /// Nobody listens there.
     Refused,
     Closed,
--- a/crates/node/src/core/care.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -1,23 +1,23 @@
 //! What is due with time: overdue, idle and silent peers, and the end of the node.
-use super::servers::Test;
+use super::server_connections::Test;
 use super::{Due, Node, Stage};
-use crate::exchange::{ConnId, Do};
+use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
 use walnutline::fleet::ServerState;
 use walnutline::ids::Ms;
 
 impl Node {
-    /// When [`Node::attend`] is to be called next at the latest.
-    pub fn next_at(&self, now: Ms) -> Ms {
+    /// When [`Node::handle_timers`] is to be called next at the latest.
+    pub fn next_call_at(&self, now: Ms) -> Ms {
         let held_back = self.stall.holds_back(now).unwrap_or(Ms::NEG_INFINITY);
         self.timers.next_at().map_or(self.again_at, |t| t.max(held_back).min(self.again_at))
     }
 
-    /// Does what is due; to be called after each round of events and whenever [`Node::next_at`] has come.
-    pub fn attend(&mut self, now: Ms) {
+    /// Does what is due; to be called after each round of events and whenever [`Node::next_call_at`] has come.
+    pub fn handle_timers(&mut self, now: Ms) {
         self.clock = now;
         if let Some(late) = self.stall.woke(now) {
-            self.dos.push(Do::Log(format!("stalled for={late:.0}")));
+            self.dos.push(IoAction::Log(format!("stalled for={late:.0}")));
         }
         if self.stall.holds_back(now).is_none() {
             while let Some(due) = self.timers.due(now) {
@@ -32,7 +32,7 @@
             self.desk.attend(now, &mut self.actions);
         }
         self.settle(now);
-        self.stall.sleeps_until(self.next_at(now));
+        self.stall.sleeps_until(self.next_call_at(now));
     }
 
     fn fire(&mut self, due: Due, now: Ms) {
@@ -51,54 +51,54 @@
             }
             Due::End => {
                 self.end_if_due(now);
-                self.timers.set(now + limits::END_LOOK, Due::End);
+                self.timers.set(now + limits::SHUTDOWN_CHECK_INTERVAL, Due::End);
             }
             Due::Sweep => {
                 self.sweep_viewers(now);
                 self.sweep_servers(now);
                 self.forget();
-                if now - self.desk.front.started_at > limits::EARLY {
+                if now - self.desk.front.started_at > limits::EARLY_MESSAGE_PERIOD {
                     self.early_rungs.clear();
                     self.early_ends.clear();
                 }
-                self.owed.retain(|o| now - o.since < limits::RELEASE_KEPT);
-                self.timers.set(now + limits::SWEEP, Due::Sweep);
+                self.owed.retain(|o| now - o.since < limits::RELEASE_RETENTION);
+                self.timers.set(now + limits::SWEEP_INTERVAL, Due::Sweep);
             }
         }
     }
 
     fn sweep_viewers(&mut self, now: Ms) {
         let overdue = self.viewers.iter().filter(|(_, v)| {
-            let silent = !v.spoke && now - v.since >= limits::FIRST_WORD;
-            let overdue = v.partial.map(|t| now - t >= limits::REQUEST_WHOLE);
+            let silent = !v.spoke && now - v.since >= limits::VIEWER_FIRST_MESSAGE_TIMEOUT;
+            let overdue = v.partial.map(|t| now - t >= limits::VIEWER_MESSAGE_TIMEOUT);
             // One that never brought a good set-up has had its answers. A viewer's own is left to it to close, as long as
             // there is room: a set-up that crosses the close may be read here by nobody, and its answer is owed.
-            let keep = if v.good { Ms::INFINITY } else { limits::FIRST_WORD };
+            let keep = if v.good { Ms::INFINITY } else { limits::VIEWER_FIRST_MESSAGE_TIMEOUT };
             // One that has begun to ask is heard to the end of it.
             v.open.is_empty() && overdue.unwrap_or(silent || now - v.used >= keep)
         });
-        let overdue: Vec<ConnId> = overdue.map(|(conn, _)| *conn).collect();
-        overdue.into_iter().for_each(|conn| self.dos.push(Do::Retire { conn }));
+        let overdue: Vec<ConnectionId> = overdue.map(|(conn, _)| *conn).collect();
+        overdue.into_iter().for_each(|conn| self.dos.push(IoAction::CloseIfIdle { conn }));
         if self.viewers.len() > self.most_viewers {
             self.retire_one(now);
         }
     }
 
     fn sweep_servers(&mut self, now: Ms) {
-        let partial = |t: Option<Ms>| t.is_some_and(|t| now - t >= limits::ANSWER_WHOLE);
+        let partial = |t: Option<Ms>| t.is_some_and(|t| now - t >= limits::SERVER_MESSAGE_TIMEOUT);
         let overdue = self.lines.iter().filter(|(_, l)| l.up && partial(l.partial));
-        let overdue: Vec<ConnId> = overdue.map(|(conn, _)| *conn).collect();
+        let overdue: Vec<ConnectionId> = overdue.map(|(conn, _)| *conn).collect();
         overdue.into_iter().for_each(|conn| self.close_line(conn, now));
         let mut close = Vec::new();
         let mut test = Vec::new();
         let mut again = Vec::new();
         for (id, s) in &self.servers {
             // What ended there is told on the next connection opened, and owed to a viewer in time.
-            if s.lines.is_empty() && s.is_needed() && now - s.parted >= limits::PARTED {
+            if s.lines.is_empty() && s.is_needed() && now - s.parted >= limits::MAX_TIME_WITHOUT_CONNECTION {
                 again.push(*id);
             }
             let used = s.is_needed();
-            let up: Vec<ConnId> =
+            let up: Vec<ConnectionId> =
                 s.lines.iter().copied().filter(|c| self.lines.get(c).is_some_and(|l| l.up)).collect();
             for (n, conn) in up.iter().enumerate() {
                 let line = &self.lines[conn];
@@ -107,14 +107,14 @@
                     // A release that crosses the close would be lost.
                     _ if used => Ms::INFINITY,
                     0 if s.listing == ServerState::Gone => 0.0,
-                    0 => self.told.idle_timeout_ms * limits::IDLE_SHARE,
-                    _ => limits::SPARE_IDLE,
+                    0 => self.told.idle_timeout_ms * limits::IDLE_TIMEOUT_SHARE,
+                    _ => limits::EXTRA_CONNECTION_IDLE_TIMEOUT,
                 };
                 if !busy && now - line.used >= keep {
                     close.push(*conn);
                 }
             }
-            if let (true, Some(conn)) = (used && now - s.heard >= limits::TEST_AFTER, up.first()) {
+            if let (true, Some(conn)) = (used && now - s.heard >= limits::PING_AFTER_SILENCE, up.first()) {
                 if self.lines[conn].tests.values().all(|t| *t != Test::There) {
                     test.push(*conn);
                 }
@@ -130,8 +130,8 @@
     pub fn stop(&mut self, at: Ms) {
         if self.stopping.is_none() {
             self.stopping = Some(at);
-            self.timers.set(at + limits::LAST_REQUESTS, Due::End);
-            self.dos.push(Do::Log(format!("stopping sessions={}", self.sess.len())));
+            self.timers.set(at + limits::SHUTDOWN_REQUEST_PERIOD, Due::End);
+            self.dos.push(IoAction::Log(format!("stopping sessions={}", self.sess.len())));
         }
     }
 
@@ -140,12 +140,13 @@
         let asked = self.sess.values().any(|s| matches!(s.stage, Stage::Asked { .. }));
         // A request of which a part is there is about to be taken.
         let begun = self.viewers.values().any(|v| v.partial.is_some());
-        let last = limits::LAST_SESSIONS + self.told.max_viewer_wait_ms.min(limits::LONGEST_STOP);
+        let last =
+            limits::SHUTDOWN_SESSION_GRACE + self.told.max_viewer_wait_ms.min(limits::MAX_SHUTDOWN_WAIT);
         let empty = self.sess.is_empty() && self.owed.is_empty() && !begun;
-        let done = empty && now - told >= limits::LAST_REQUESTS;
+        let done = empty && now - told >= limits::SHUTDOWN_REQUEST_PERIOD;
         if !asked && (done || now - told >= last) {
             // Close to the kill, what would be waited for is lost either way.
-            self.dos.push(Do::Exit { at_once: now - told >= last + limits::LINGER });
+            self.dos.push(IoAction::Exit { at_once: now - told >= last + limits::SHUTDOWN_FLUSH_TIMEOUT });
         }
     }
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,27 +1,27 @@
 //! One owner of all sessions, connections and time-outs of a node. It is told the time and what came in, and says
 //! what to do next and when to call again. Every decision is asked of the module through the desk.
 //!
-//! - [`viewers`]: what viewers send and are owed.
-//! - [`servers`]: connections to servers, and what each end of one proves.
-//! - [`answers`]: what servers say.
-//! - [`list`]: the list of servers, followed by questions to the name service.
+//! - [`viewer_connections`]: what viewers send and are owed.
+//! - [`server_connections`]: connections to servers, and what each end of one proves.
+//! - [`server_messages`]: what servers say.
+//! - [`server_list`]: the list of servers, followed by questions to the name service.
 //! - [`peers`]: what front nodes tell each other.
-//! - [`care`]: what is due with time: silent, idle and overdue peers, and the end of the node.
+//! - [`maintenance`]: what is due with time: silent, idle and overdue peers, and the end of the node.
 //!
 //! State grows with what is open now: sessions in hand, connections, servers listed or still in use.
-mod answers;
-mod care;
-mod list;
+mod maintenance;
 mod peers;
-mod servers;
-mod viewers;
+mod server_connections;
+mod server_list;
+mod server_messages;
+mod viewer_connections;
 
-use crate::exchange::{ConnId, Do};
+use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
-use list::Names;
-use servers::{Line, Server};
+use server_connections::{Line, Server};
+use server_list::Names;
 use std::collections::{BTreeMap, VecDeque};
-use viewers::Viewer;
+use viewer_connections::Viewer;
 use walnutline::api::SetupOutcome;
 use walnutline::ids::{Ms, ServerId, SessionId};
 use walnutline::settings::{ListDelivery, PolicySettings};
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Out {
     server: ServerId,
-    line: ConnId,
+    line: ConnectionId,
     /// Tells it from other SETUPs of the same session.
     no: u32,
     written: bool,
@@ -43,9 +43,9 @@
 
 enum Stage {
     /// Its answer is owed to this connection.
-    Asked { from: ConnId, wanted: Box<SetupRequest>, out: Option<Out> },
+    Asked { from: ConnectionId, wanted: Box<SetupRequest>, out: Option<Out> },
     /// It plays; the connection that its set-up came by, as long as that is open, and since when it is known to stand.
-    Stands { from: Option<ConnId>, server: ServerId, since: Ms },
+    Stands { from: Option<ConnectionId>, server: ServerId, since: Ms },
 }
 
 struct Session {
@@ -74,8 +74,8 @@
 #[derive(Debug)]
 enum Due {
     Setup { id: SessionId, no: u32 },
-    Connecting { conn: ConnId },
-    Test { conn: ConnId, id: u64 },
+    Connecting { conn: ConnectionId },
+    Test { conn: ConnectionId, id: u64 },
     Reconnect { server: ServerId },
     End,
     Sweep,
@@ -88,14 +88,14 @@
     /// Zones that the settings name; further ones come with the list.
     zones_told: usize,
     sess: BTreeMap<SessionId, Session>,
-    viewers: BTreeMap<ConnId, Viewer>,
+    viewers: BTreeMap<ConnectionId, Viewer>,
     most_viewers: usize,
     most_lines: usize,
     /// The viewer's connection that last brought a set-up that could be taken.
-    last_good: Option<ConnId>,
+    last_good: Option<ConnectionId>,
     servers: BTreeMap<ServerId, Server>,
     by_name: BTreeMap<String, ServerId>,
-    lines: BTreeMap<ConnId, Line>,
+    lines: BTreeMap<ConnectionId, Line>,
     owed: VecDeque<Owed>,
     /// What servers told of sessions before these were handed over, their rungs or their ends: the two come
     /// by different ways.
@@ -110,7 +110,7 @@
     stopping: Option<Ms>,
     ledger: Ledger,
     actions: Vec<Action>,
-    dos: Vec<Do>,
+    dos: Vec<IoAction>,
     again_at: Ms,
     /// The time of the last call.
     clock: Ms,
@@ -128,14 +128,14 @@
         terms.peer_messages_allowed &=
             told.peer_broadcast_address.is_some() && told.peer_listen_address.is_some();
         let servers = told.servers.clone();
-        let most_viewers = limits::viewers(told.max_sockets, servers.len());
+        let most_viewers = limits::max_viewer_connections(told.max_sockets, servers.len());
         let mut node = Node {
             desk: Desk::new(terms, told.seed, now),
             zones_told: told.zones.len(),
             sess: BTreeMap::new(),
             viewers: BTreeMap::new(),
             most_viewers,
-            most_lines: limits::lines(told.max_sockets, most_viewers),
+            most_lines: limits::max_server_connections(told.max_sockets, most_viewers),
             last_good: None,
             servers: BTreeMap::new(),
             by_name: BTreeMap::new(),
@@ -158,34 +158,34 @@
             told,
         };
         node.listed(servers, now);
-        node.timers.set(now + limits::SWEEP, Due::Sweep);
+        node.timers.set(now + limits::SWEEP_INTERVAL, Due::Sweep);
         Ok(node)
     }
 
     /// A number for a connection that comes in.
-    pub fn conn(&mut self) -> ConnId {
+    pub fn new_connection_id(&mut self) -> ConnectionId {
         self.next_conn += 1;
-        ConnId(self.next_conn)
+        ConnectionId(self.next_conn)
     }
 
-    pub fn take(&mut self) -> Vec<Do> {
+    pub fn take_actions(&mut self) -> Vec<IoAction> {
         std::mem::take(&mut self.dos)
     }
 
     /// What became of the requests taken so far: those answered, given up and open add up to them.
-    pub fn account(&self) -> String {
+    pub fn request_counts(&self) -> String {
         let Ledger { taken, answered, given_up } = self.ledger;
         let open = self.sess.values().filter(|s| matches!(s.stage, Stage::Asked { .. })).count();
         format!("taken={taken} answered={answered} given_up={given_up} open={open}")
     }
 
     /// How many viewers' connections are held at most.
-    pub fn most_viewers(&self) -> usize {
+    pub fn max_viewer_connections(&self) -> usize {
         self.most_viewers
     }
 
     /// Bytes that came in on a connection at that time.
-    pub fn bytes(&mut self, conn: ConnId, bytes: &[u8], at: Ms, now: Ms) {
+    pub fn bytes_received(&mut self, conn: ConnectionId, bytes: &[u8], at: Ms, now: Ms) {
         if self.viewers.contains_key(&conn) {
             self.viewer_bytes(conn, bytes, at, now);
         } else if self.lines.contains_key(&conn) {
@@ -195,7 +195,7 @@
     }
 
     /// A connection is over, or never came up.
-    pub fn closed(&mut self, conn: ConnId, end: crate::exchange::End, now: Ms) {
+    pub fn connection_closed(&mut self, conn: ConnectionId, end: crate::actions::ConnectionEnd, now: Ms) {
         if self.viewers.contains_key(&conn) {
             self.viewer_closed(conn, now);
         } else if self.lines.contains_key(&conn) {
@@ -221,7 +221,7 @@
                 }
                 Action::TornDown { id } => self.answer(id, viewer::setup_failed_response(id.0)),
                 Action::Tell(news) => self.tell(&news, now),
-                Action::Log(line) => self.dos.push(Do::Log(line)),
+                Action::Log(line) => self.dos.push(IoAction::Log(line)),
                 Action::AgainAt(at) => self.again_at = at,
             }
         }
@@ -234,7 +234,7 @@
             self.ledger.answered += 1;
             if let Some(v) = self.viewers.get_mut(&from) {
                 v.open.remove(&id);
-                self.dos.push(Do::Write { conn: from, bytes });
+                self.dos.push(IoAction::Write { conn: from, bytes });
             }
         }
     }
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams between front nodes: the module says what is told, and what is heard goes to it.
 use super::Node;
-use crate::exchange::Do;
+use crate::actions::IoAction;
 use std::net::SocketAddr;
 use walnutline::api::PeerReport;
 use walnutline::fleet::ServerState;
@@ -22,12 +22,12 @@
             })
         };
         let entries: Vec<ServerStatus> = news.iter().filter_map(entry).collect();
-        self.dos.push(Do::Tell { to, bytes: peers::encode(&entries) });
+        self.dos.push(IoAction::SendPeerReports { to, bytes: peers::encode(&entries) });
     }
 
     /// A datagram on the address for other front nodes. What does not come from one of them, can't be read or tells of
     /// servers that are not listed is passed over.
-    pub fn peer(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
+    pub fn peer_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
         if !self.told.peer_addresses.contains(&from) {
             return;
         }
--- a/crates/node/src/core/servers.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to servers: which one a message goes out on, and what the end of each proves.
 use super::{Due, Node, Out, Stage};
-use crate::exchange::{ConnId, Do, End};
+use crate::actions::{ConnectionEnd, ConnectionId, IoAction};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     pub address: SocketAddr,
     pub listing: ServerState,
     pub started: Option<Ms>,
-    pub lines: Vec<ConnId>,
+    pub lines: Vec<ConnectionId>,
     /// Sessions that stand there.
     pub standing: BTreeSet<SessionId>,
     /// Messages on sessions there that wait for a connection: the last one of each.
@@ -83,7 +83,7 @@
 
     /// Releases that were not heard on a connection that is over go out on the next one.
     fn keep_unheard(&mut self, releases: VecDeque<(Ms, SessionId)>, now: Ms) {
-        for (_, id) in releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_KEPT) {
+        for (_, id) in releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_RETENTION) {
             self.unsent.entry(id).or_insert(Unsent::Release);
         }
     }
@@ -91,7 +91,7 @@
 
 impl Line {
     pub fn is_over(&mut self, id: SessionId) {
-        if self.given_up.len() >= limits::GIVEN_UP {
+        if self.given_up.len() >= limits::MAX_ENDED_SETUPS {
             self.given_up.pop_front();
         }
         self.given_up.push_back(id);
@@ -101,12 +101,12 @@
 impl Node {
     // ---- opening and closing ----
 
-    fn connect(&mut self, server: ServerId, now: Ms) -> Option<ConnId> {
+    fn connect(&mut self, server: ServerId, now: Ms) -> Option<ConnectionId> {
         if self.lines.len() >= self.most_lines && !self.make_room(now) {
             return None;
         }
         let address = self.servers.get(&server)?.address;
-        let conn = self.conn();
+        let conn = self.new_connection_id();
         self.servers.get_mut(&server)?.lines.push(conn);
         let line = Line {
             server,
@@ -123,7 +123,7 @@
         };
         self.lines.insert(conn, line);
         self.timers.set(now + self.told.connect_timeout_ms, Due::Connecting { conn });
-        self.dos.push(Do::Connect { conn, address });
+        self.dos.push(IoAction::Connect { conn, address });
         Some(conn)
     }
 
@@ -140,16 +140,16 @@
     }
 
     /// Closes a connection that is well: nothing is proved by its end.
-    fn let_go(&mut self, conn: ConnId, server: ServerId, now: Ms) {
+    fn let_go(&mut self, conn: ConnectionId, server: ServerId, now: Ms) {
         let releases = self.lines.remove(&conn).map(|line| line.releases).unwrap_or_default();
-        self.dos.push(Do::Close { conn });
+        self.dos.push(IoAction::Close { conn });
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.lines.retain(|c| *c != conn);
         s.parted = now;
         match s.lines.iter().copied().find(|c| self.lines.get(c).is_some_and(|l| l.up)) {
             None => s.keep_unheard(releases, now),
             Some(other) => {
-                let young = releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_KEPT);
+                let young = releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_RETENTION);
                 young.for_each(|(_, id)| self.write_to_server(other, id, Unsent::Release, now));
             }
         }
@@ -163,7 +163,7 @@
     }
 
     /// A connection came up.
-    pub fn connected(&mut self, conn: ConnId, now: Ms) {
+    pub fn server_connected(&mut self, conn: ConnectionId, now: Ms) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         (line.up, line.used) = (true, now);
         let (server, waiting, probes) = (line.server, line.out.clone(), std::mem::take(&mut line.probes));
@@ -172,13 +172,13 @@
         s.retry.worked();
         // Connections reset, and taken again at once: a process that ends is gone for longer. What another node
         // heard may be the new one already.
-        if now - s.said < limits::SAME_PROCESS {
+        if now - s.said < limits::MIN_PROCESS_RESTART_TIME {
             self.desk.lives(server, Ms::NEG_INFINITY);
         }
         // It was to tell whether a silent machine is there, and has told: a process that stands still for long
         // would else gather one more with each test.
         // An older one goes, as a server sends what may have been lost on the one that is opened last.
-        if s.lines.len() > limits::LINES && waiting.is_empty() && probes == 0 {
+        if s.lines.len() > limits::MAX_CONNECTIONS_PER_SERVER && waiting.is_empty() && probes == 0 {
             let idle = s.lines.iter().filter_map(|c| Some((c, self.lines.get(c)?)));
             let idle = idle.filter(|(c, l)| {
                 **c != conn && l.up && l.out.is_empty() && l.tests.values().all(|t| *t == Test::There)
@@ -199,18 +199,18 @@
         self.settle(now);
     }
 
-    pub(super) fn close_line(&mut self, conn: ConnId, now: Ms) {
-        self.dos.push(Do::Close { conn });
-        self.line_closed(conn, End::Closed, now);
+    pub(super) fn close_line(&mut self, conn: ConnectionId, now: Ms) {
+        self.dos.push(IoAction::Close { conn });
+        self.line_closed(conn, ConnectionEnd::Closed, now);
     }
 
-    pub(super) fn line_closed(&mut self, conn: ConnId, end: End, now: Ms) {
+    pub(super) fn line_closed(&mut self, conn: ConnectionId, end: ConnectionEnd, now: Ms) {
         let Some(line) = self.lines.remove(&conn) else { return };
         let server = line.server;
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.lines.retain(|c| *c != conn);
         s.broke = now;
-        if !line.up && end != End::Unopened {
+        if !line.up && end != ConnectionEnd::Unopened {
             s.fails += 1;
         }
         if line.up {
@@ -220,13 +220,14 @@
         // there is cut. A machine that takes no new connection
         // and says nothing on an old one is gone as well. One that is gone from the list is not asked again: its
         // address may be another's.
-        let silent = now - s.heard > limits::TEST_AFTER && s.fails > 0 && end != End::Unopened;
+        let silent =
+            now - s.heard > limits::PING_AFTER_SILENCE && s.fails > 0 && end != ConnectionEnd::Unopened;
         let gone = s.listing == ServerState::Gone && s.lines.is_empty();
         let others = s.lines.iter().any(|c| self.lines.get(c).is_some_and(|l| l.up));
-        if end == End::Refused && !others {
+        if end == ConnectionEnd::Refused && !others {
             s.unsent.clear();
         }
-        if end == End::Refused && !others || !line.up && silent || gone {
+        if end == ConnectionEnd::Refused && !others || !line.up && silent || gone {
             self.cut(server, now);
         } else if self.servers[&server].is_needed() {
             if line.up {
@@ -239,7 +240,7 @@
         }
         let ending = match (line.up, end) {
             (true, _) => SetupOutcome::Broken,
-            (false, End::Unopened) => SetupOutcome::NeverSent,
+            (false, ConnectionEnd::Unopened) => SetupOutcome::NeverSent,
             (false, _) => SetupOutcome::NoConnection,
         };
         for id in line.out {
@@ -269,7 +270,7 @@
             s.unsent.remove(id);
         }
         if !standing.is_empty() {
-            self.dos.push(Do::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
+            self.dos.push(IoAction::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
         }
         standing.into_iter().for_each(|id| {
             self.over(id, SetupOutcome::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now)
@@ -286,14 +287,15 @@
             return self.setup_ended(id, SetupOutcome::NoConnection, now);
         };
         // One with nothing out on it, else a new one, else the one with least.
-        let load = |c: &ConnId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
+        let load = |c: &ConnectionId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
         // Not one on which an earlier SETUP of this session was given up: the answer to that one may still come, and
         // would be taken for this one's.
         let first = sess.setups == 0;
-        let other = |c: &ConnId| first || self.lines.get(c).is_none_or(|l| !l.given_up.contains(&id));
+        let other = |c: &ConnectionId| first || self.lines.get(c).is_none_or(|l| !l.given_up.contains(&id));
         let best = s.lines.iter().copied().filter(other).min_by_key(load);
         let free = best.filter(|c| load(c).1 == 0);
-        let room = best.is_none() || s.lines.len() < limits::LINES && self.lines.len() < self.most_lines;
+        let room = best.is_none()
+            || s.lines.len() < limits::MAX_CONNECTIONS_PER_SERVER && self.lines.len() < self.most_lines;
         let Some(conn) = free.or_else(|| if room { self.connect(server, now) } else { best }) else {
             // No room here: that is not the server's fault.
             return self.setup_ended(id, SetupOutcome::NeverSent, now);
@@ -317,13 +319,13 @@
     /// A SETUP is ready to go out. What is still unheard of its viewer comes first: it may have gone.
     fn ready_setup(&mut self, id: SessionId) {
         if let Some(Stage::Asked { out: Some(out), .. }) = self.sess.get(&id).map(|s| &s.stage) {
-            self.dos.push(Do::Setup { id, no: out.no });
+            self.dos.push(IoAction::OfferSetup { id, attempt: out.no });
         }
     }
 
     /// The viewer's connection that an offered SETUP is for now, as it may have asked again on another one,
     /// and the server's connection; `None` where it is not wanted any more.
-    pub fn offered(&self, id: SessionId, no: u32) -> Option<(ConnId, ConnId)> {
+    pub fn offered_setup_connections(&self, id: SessionId, no: u32) -> Option<(ConnectionId, ConnectionId)> {
         match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Asked { from, out: Some(out), .. }) if out.no == no && !out.written => {
                 Some((*from, out.line))
@@ -347,7 +349,7 @@
     }
 
     /// The connection of a SETUP takes nothing now: it never left, and another server may be asked.
-    pub fn setup_stuck(&mut self, id: SessionId, no: u32, now: Ms) {
+    pub fn setup_blocked(&mut self, id: SessionId, no: u32, now: Ms) {
         if let Some(Stage::Asked { out: Some(out), .. }) = self.sess.get(&id).map(|s| &s.stage) {
             let out = *out;
             if out.no == no && !out.written {
@@ -381,7 +383,7 @@
         line.out.remove(&id);
         if out.written {
             line.is_over(id);
-            self.dos.push(Do::Write { conn: out.line, bytes: server::setup_cancel_request(id.0) });
+            self.dos.push(IoAction::Write { conn: out.line, bytes: server::setup_cancel_request(id.0) });
         }
     }
 
@@ -398,17 +400,17 @@
         }
     }
 
-    pub(super) fn write_to_server(&mut self, conn: ConnId, id: SessionId, what: Unsent, now: Ms) {
+    pub(super) fn write_to_server(&mut self, conn: ConnectionId, id: SessionId, what: Unsent, now: Ms) {
         let bytes = match what {
             Unsent::Rung(rung) => server::rung_request(id.0, rung),
             Unsent::Release => server::release_request(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
         };
         if let (Unsent::Release, Some(line)) = (what, self.lines.get_mut(&conn)) {
-            line.releases.retain(|(at, _)| now - at < limits::RELEASE_KEPT);
-            line.releases.truncate(limits::RELEASES - 1);
+            line.releases.retain(|(at, _)| now - at < limits::RELEASE_RETENTION);
+            line.releases.truncate(limits::MAX_PENDING_RELEASES - 1);
             line.releases.push_back((now, id));
         }
-        self.dos.push(Do::Write { conn, bytes });
+        self.dos.push(IoAction::Write { conn, bytes });
     }
 
     pub(super) fn rung(&mut self, id: SessionId, rung: u8) {
@@ -419,7 +421,7 @@
 
     pub(super) fn probe(&mut self, server: ServerId, now: Ms) {
         let Some(s) = self.servers.get(&server) else { return };
-        let load = |c: &ConnId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
+        let load = |c: &ConnectionId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
         let conn = match s.lines.iter().copied().min_by_key(load) {
             Some(conn) => Some(conn),
             None => self.connect(server, now),
@@ -432,26 +434,26 @@
         }
     }
 
-    pub(super) fn test(&mut self, conn: ConnId, what: Test, now: Ms) {
+    pub(super) fn test(&mut self, conn: ConnectionId, what: Test, now: Ms) {
         let id = self.rng.u64(..);
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.tests.insert(id, what);
         let (wait, bytes) = match what {
             Test::Probe => (self.told.probe_timeout_ms, server::load_probe_request(id)),
-            Test::There => (limits::TEST_WAIT, server::ping_request(id)),
+            Test::There => (limits::PING_TIMEOUT, server::ping_request(id)),
         };
         self.timers.set(now + wait, Due::Test { conn, id });
-        self.dos.push(Do::Write { conn, bytes });
+        self.dos.push(IoAction::Write { conn, bytes });
     }
 
     /// A test was not answered in time. Where it was to tell whether the server is there, a new connection is.
-    pub(super) fn test_due(&mut self, conn: ConnId, id: u64, now: Ms) {
+    pub(super) fn test_due(&mut self, conn: ConnectionId, id: u64, now: Ms) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         let server = line.server;
         match line.tests.remove(&id) {
             Some(Test::Probe) => self.desk.probed(server, SetupOutcome::TimedOut, now),
             Some(Test::There)
-                if self.servers.get(&server).is_some_and(|s| now - s.heard > limits::TEST_AFTER) =>
+                if self.servers.get(&server).is_some_and(|s| now - s.heard > limits::PING_AFTER_SILENCE) =>
             {
                 self.connect(server, now);
             }
--- a/crates/node/src/core/list.rs
+++ b/crates/node/src/core/server_list.rs
@@ -1,7 +1,7 @@
 //! The list of servers, followed by questions to the name service.
-use super::servers::Server;
+use super::server_connections::Server;
 use super::Node;
-use crate::exchange::{ConnId, Do};
+use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
         }
         let (since, times) = self.lower.get_or_insert((now, 0));
         *times += 1;
-        let anew = now - *since >= limits::RENUMBERED && *times >= limits::RENUMBERED_ANSWERS;
+        let anew = now - *since >= limits::SERIAL_RESET_TIME && *times >= limits::SERIAL_RESET_ANSWERS;
         if anew {
             self.lower = None;
         }
@@ -50,16 +50,16 @@
     /// Asks for the list; a lost answer is made up for by the next question.
     pub(super) fn ask_list(&mut self) {
         let id = self.rng.u16(..);
-        if self.names.asked.len() >= limits::ASKED {
+        if self.names.asked.len() >= limits::MAX_OPEN_LIST_QUERIES {
             self.names.asked.pop_front();
         }
         self.names.asked.push_back(id);
-        self.dos.push(Do::Query { to: self.names.address, bytes: discovery::encode_query(id) });
+        self.dos.push(IoAction::SendListQuery { to: self.names.address, bytes: discovery::encode_query(id) });
     }
 
     /// A datagram that came from there. What is not a good answer to one of the last questions, or is older than
     /// what is known, is passed over.
-    pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
+    pub fn name_service_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
         if from != self.names.address || bytes.len() < 2 {
             return;
         }
@@ -77,11 +77,11 @@
     /// A new configuration, of which the name service's address and the list count. One that changes more
     /// than that is left alone as a whole: what stands in the settings by position holds for the sessions in
     /// hand.
-    pub fn configured(&mut self, told: Configuration, now: Ms) {
+    pub fn apply_configuration(&mut self, told: Configuration, now: Ms) {
         let differs = self.told.changes_requiring_restart(&told);
         if !differs.is_empty() {
-            let (first, more) = (&differs[..differs.len().min(limits::PATHS_TOLD)], differs.len());
-            return self.dos.push(Do::Log(format!(
+            let (first, more) = (&differs[..differs.len().min(limits::MAX_LOGGED_PATHS)], differs.len());
+            return self.dos.push(IoAction::Log(format!(
                 "the configuration stays as it was, a restart takes up what changed: paths={more} {}",
                 first.join(" ")
             )));
@@ -176,7 +176,7 @@
                 (s.address, s.started) = (line.address, line.started_unix_ms);
                 let lines = s.lines.iter().copied();
                 let old = lines.filter(|c| self.lines.get(c).is_none_or(|l| l.opened < since));
-                let old: Vec<ConnId> = old.collect();
+                let old: Vec<ConnectionId> = old.collect();
                 self.cut_before(id, since, now);
                 old.into_iter().for_each(|conn| self.close_line(conn, now));
             }
--- a/crates/node/src/core/answers.rs
+++ b/crates/node/src/core/server_messages.rs
@@ -1,7 +1,7 @@
 //! What servers say, and what follows from it.
-use super::servers::{Test, Unsent};
+use super::server_connections::{Test, Unsent};
 use super::{Node, Session, Stage};
-use crate::exchange::{ConnId, Do};
+use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
 use walnutline::api::SetupOutcome;
 use walnutline::ids::{Ms, ServerId, SessionId};
@@ -10,7 +10,7 @@
 use walnutline_platform::viewer;
 
 impl Node {
-    pub(super) fn server_bytes(&mut self, conn: ConnId, bytes: &[u8], now: Ms) {
+    pub(super) fn server_bytes(&mut self, conn: ConnectionId, bytes: &[u8], now: Ms) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         let server = line.server;
         line.reader.push(bytes);
@@ -19,7 +19,7 @@
         if let Some(s) = self.servers.get_mut(&server) {
             (s.heard, s.said, s.process) = (now, now, opened);
             // A connection of before, on which something comes long after: what looked like an end was none.
-            if opened < s.broke && now - s.broke > limits::ON_ITS_WAY {
+            if opened < s.broke && now - s.broke > limits::MAX_DELIVERY_DELAY {
                 self.desk.lives(server, opened);
             }
         }
@@ -36,14 +36,14 @@
                 }
                 Err(bad) => {
                     let name = self.servers.get(&server).map_or("", |s| &s.name);
-                    self.dos.push(Do::Log(format!("server {name}: {bad}; connection closed")));
+                    self.dos.push(IoAction::Log(format!("server {name}: {bad}; connection closed")));
                     return self.close_line(conn, now);
                 }
             }
         }
     }
 
-    fn server_said(&mut self, conn: ConnId, server: ServerId, said: ServerMessage, now: Ms) {
+    fn server_said(&mut self, conn: ConnectionId, server: ServerId, said: ServerMessage, now: Ms) {
         match said {
             ServerMessage::SetupResponse { id, status, description, report } => {
                 self.reported(server, &report, now);
@@ -58,7 +58,7 @@
                 }
             }
             ServerMessage::Teardown { id, cause, cseq, report } => {
-                self.dos.push(Do::Write { conn, bytes: server::teardown_response(id, cseq) });
+                self.dos.push(IoAction::Write { conn, bytes: server::teardown_response(id, cseq) });
                 self.reported(server, &report, now);
                 self.released(conn, server, SessionId(id), cause, now);
             }
@@ -91,7 +91,8 @@
     }
 
     fn is_early(&self, id: SessionId, kept: usize, now: Ms) -> bool {
-        let early = now - self.desk.front.started_at < limits::EARLY && kept < limits::EARLY_NOTES;
+        let early = now - self.desk.front.started_at < limits::EARLY_MESSAGE_PERIOD
+            && kept < limits::MAX_EARLY_MESSAGES;
         early && !self.sess.contains_key(&id)
     }
 
@@ -106,7 +107,7 @@
 
     fn setup_answered(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         server: ServerId,
         id: SessionId,
         status: u16,
@@ -151,12 +152,12 @@
             v.open.remove(&id);
             v.used = now;
         }
-        self.dos.push(Do::Write { conn: from, bytes: viewer::setup_response(id.0, description) });
+        self.dos.push(IoAction::Write { conn: from, bytes: viewer::setup_response(id.0, description) });
         self.desk.started(id, now);
     }
 
     /// A server tells that a session is over, or that a set-up broke. It may tell so more than once.
-    fn released(&mut self, conn: ConnId, server: ServerId, id: SessionId, cause: Option<u32>, now: Ms) {
+    fn released(&mut self, conn: ConnectionId, server: ServerId, id: SessionId, cause: Option<u32>, now: Ms) {
         match self.sess.get(&id).map(|s| &s.stage) {
             Some(Stage::Stands { server: at, since, .. }) if *at == server => match cause {
                 Some(headers::RELEASE_CAUSE_ENDED) => {
@@ -164,12 +165,12 @@
                 }
                 Some(headers::RELEASE_CAUSE_WITHDRAWN) => {
                     let after = now - since;
-                    if after < limits::JUST_ANSWERED {
+                    if after < limits::IMMEDIATE_TEARDOWN {
                         let said = format!(
                             "session {:016x} ended by its viewer {after:.2} ms after its answer",
                             id.0
                         );
-                        self.dos.push(Do::Log(said));
+                        self.dos.push(IoAction::Log(said));
                     }
                     self.over(id, SetupOutcome::Withdrawn, None, now);
                 }
--- a/crates/node/src/core/viewers.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -1,7 +1,7 @@
 //! What viewers send and are owed.
-use super::servers::Unsent;
+use super::server_connections::Unsent;
 use super::{Node, Owed, Session, Stage};
-use crate::exchange::{ConnId, Do};
+use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
 use std::collections::{BTreeSet, VecDeque};
 use walnutline::api::{Holders, Request, SetupOutcome};
@@ -31,10 +31,10 @@
 impl Node {
     /// A viewer's connection was taken in. At the most that are held, the one that can best be done without is
     /// closed: one that never brought a set-up, then one idle for longest; one that has begun to ask comes last.
-    pub fn accepted(&mut self, conn: ConnId, now: Ms) {
+    pub fn viewer_accepted(&mut self, conn: ConnectionId, now: Ms) {
         let full = self.viewers.len() >= self.most_viewers && !self.retire_one(now);
-        if full && self.viewers.len() >= self.most_viewers + limits::VIEWERS_OVER {
-            return self.dos.push(Do::Close { conn });
+        if full && self.viewers.len() >= self.most_viewers + limits::EXTRA_VIEWER_CONNECTIONS {
+            return self.dos.push(IoAction::Close { conn });
         }
         let viewer = Viewer {
             reader: MessageReader::default(),
@@ -52,17 +52,18 @@
 
     /// Closes the connection that can best be done without, if there is one.
     pub(super) fn retire_one(&mut self, now: Ms) -> bool {
-        let idle = self.viewers.iter().filter(|(_, v)| v.open.is_empty() && now - v.stays >= limits::SWEEP);
+        let idle =
+            self.viewers.iter().filter(|(_, v)| v.open.is_empty() && now - v.stays >= limits::SWEEP_INTERVAL);
         let rank = |v: &Viewer| (v.partial.is_some(), v.good);
         let victim = idle.min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then(a.used.total_cmp(&b.used)));
         let victim = victim.map(|(conn, _)| *conn);
-        victim.into_iter().for_each(|conn| self.dos.push(Do::Retire { conn }));
+        victim.into_iter().for_each(|conn| self.dos.push(IoAction::CloseIfIdle { conn }));
         victim.is_some()
     }
 
     /// A connection that was to be retired has something on its way: a set-up read and not yet heard would be
     /// lost with it. Another one goes instead, where room is wanted.
-    pub fn stays(&mut self, conn: ConnId, now: Ms) {
+    pub fn connection_in_use(&mut self, conn: ConnectionId, now: Ms) {
         if let Some(v) = self.viewers.get_mut(&conn) {
             v.stays = now;
         }
@@ -71,17 +72,17 @@
         }
     }
 
-    pub(super) fn close_viewer(&mut self, conn: ConnId, now: Ms) {
-        self.dos.push(Do::Close { conn });
+    pub(super) fn close_viewer(&mut self, conn: ConnectionId, now: Ms) {
+        self.dos.push(IoAction::Close { conn });
         self.viewer_closed(conn, now);
     }
 
     /// The set-ups open on a connection are given up with it.
-    pub(super) fn viewer_closed(&mut self, conn: ConnId, now: Ms) {
+    pub(super) fn viewer_closed(&mut self, conn: ConnectionId, now: Ms) {
         let Some(v) = self.viewers.remove(&conn) else { return };
         if !v.open.is_empty() {
             let (idle, partial) = (now - v.used, v.reader.has_partial_message());
-            self.dos.push(Do::Log(format!(
+            self.dos.push(IoAction::Log(format!(
                 "viewer's connection {} ended open={} idle={idle:.0} partial={partial}",
                 conn.0,
                 v.open.len()
@@ -91,12 +92,12 @@
         if self.last_good == Some(conn) {
             self.last_good = self.viewers.iter().rfind(|(_, v)| v.good).map(|(c, _)| *c);
         }
-        for owed in v.releases.into_iter().filter(|o| now - o.since < limits::RELEASE_KEPT) {
+        for owed in v.releases.into_iter().filter(|o| now - o.since < limits::RELEASE_RETENTION) {
             self.write_release(owed, None);
         }
     }
 
-    pub(super) fn viewer_bytes(&mut self, conn: ConnId, bytes: &[u8], at: Ms, now: Ms) {
+    pub(super) fn viewer_bytes(&mut self, conn: ConnectionId, bytes: &[u8], at: Ms, now: Ms) {
         let Some(v) = self.viewers.get_mut(&conn) else { return };
         v.reader.push(bytes);
         loop {
@@ -115,7 +116,7 @@
                 }
                 Err(bad) => {
                     if v.good {
-                        self.dos.push(Do::Log(format!("viewer's connection {}: {bad}", conn.0)));
+                        self.dos.push(IoAction::Log(format!("viewer's connection {}: {bad}", conn.0)));
                     }
                     let fault = RequestError { id: None, cseq: None, reason: String::new() };
                     self.refuse(conn, &fault, 400);
@@ -129,11 +130,11 @@
         }
     }
 
-    fn refuse(&mut self, conn: ConnId, fault: &RequestError, status: u16) {
-        self.dos.push(Do::Write { conn, bytes: viewer::error_response(fault, status) });
+    fn refuse(&mut self, conn: ConnectionId, fault: &RequestError, status: u16) {
+        self.dos.push(IoAction::Write { conn, bytes: viewer::error_response(fault, status) });
     }
 
-    fn said(&mut self, conn: ConnId, said: ViewerMessage, at: Ms, now: Ms) {
+    fn said(&mut self, conn: ConnectionId, said: ViewerMessage, at: Ms, now: Ms) {
         match said {
             ViewerMessage::Setup(wanted) => {
                 let (id, asks) = (wanted.id, wanted.destination.current_server.is_none());
@@ -148,7 +149,7 @@
             ViewerMessage::Teardown { id, cseq } => self.teardown(conn, id, cseq, now),
             ViewerMessage::Options { id, cseq } => {
                 let status = if self.stopping.is_some() { 503 } else { 200 };
-                self.dos.push(Do::Write { conn, bytes: viewer::status_response(id, cseq, status) });
+                self.dos.push(IoAction::Write { conn, bytes: viewer::status_response(id, cseq, status) });
             }
             ViewerMessage::TeardownResponse { id } => {
                 if let Some(v) = self.viewers.get_mut(&conn) {
@@ -159,7 +160,13 @@
     }
 
     /// A set-up is wanted, or a session handed over; or why it can't be taken.
-    fn wanted(&mut self, conn: ConnId, w: SetupRequest, at: Ms, now: Ms) -> Result<(), (&'static str, u16)> {
+    fn wanted(
+        &mut self,
+        conn: ConnectionId,
+        w: SetupRequest,
+        at: Ms,
+        now: Ms,
+    ) -> Result<(), (&'static str, u16)> {
         let group = self.told.classes.iter().position(|c| *c == w.class).ok_or(("class", 400))?;
         let d = &w.destination;
         let in_range = d.home_cell < self.told.cell_count
@@ -183,14 +190,14 @@
             self.handed_over(conn, id, server, request, now);
             return Ok(());
         }
-        if w.wait_limit_ms > limits::WAIT_SHARE * self.told.max_viewer_wait_ms {
+        if w.wait_limit_ms > limits::MAX_WAIT_FACTOR * self.told.max_viewer_wait_ms {
             return Err(("time", 400));
         }
         if self.sess.contains_key(&id) {
             return self.asked_again(conn, id, &w);
         }
         let Some(v) = self.viewers.get_mut(&conn) else { return Ok(()) };
-        if v.open.len() >= limits::OPEN_SETUPS {
+        if v.open.len() >= limits::MAX_OPEN_SETUPS_PER_VIEWER {
             return Err(("too many at once", 503));
         }
         v.open.insert(id);
@@ -209,7 +216,7 @@
     /// another's.
     fn asked_again(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         id: SessionId,
         w: &SetupRequest,
     ) -> Result<(), (&'static str, u16)> {
@@ -236,7 +243,7 @@
     /// A session that plays at a server already; it may be one that this node holds.
     fn handed_over(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         id: SessionId,
         server: Option<walnutline::ids::ServerId>,
         request: Request,
@@ -275,7 +282,7 @@
     }
 
     /// A viewer gives a set-up up, or ends its session.
-    fn teardown(&mut self, conn: ConnId, id: u64, cseq: Option<u32>, now: Ms) {
+    fn teardown(&mut self, conn: ConnectionId, id: u64, cseq: Option<u32>, now: Ms) {
         let sess = SessionId(id);
         let status = match self.sess.get(&sess).map(|s| &s.stage) {
             Some(Stage::Asked { from, .. }) if *from == conn => {
@@ -293,7 +300,7 @@
             }
             _ => 454,
         };
-        self.dos.push(Do::Write { conn, bytes: viewer::status_response(Some(id), cseq, status) });
+        self.dos.push(IoAction::Write { conn, bytes: viewer::status_response(Some(id), cseq, status) });
     }
 
     /// No answer is owed any more: its SETUP, if one is out, is given up.
@@ -310,21 +317,21 @@
 
     /// Tells a viewer that its session is over: on the connection of its set-up, else on one that has brought
     /// set-ups, else as soon as there is one.
-    pub(super) fn release(&mut self, id: u64, from: Option<ConnId>, cause: u32, now: Ms) {
+    pub(super) fn release(&mut self, id: u64, from: Option<ConnectionId>, cause: u32, now: Ms) {
         self.write_release(Owed { id, cause, since: now }, from);
     }
 
-    fn write_release(&mut self, owed: Owed, from: Option<ConnId>) {
+    fn write_release(&mut self, owed: Owed, from: Option<ConnectionId>) {
         let open = from.filter(|c| self.viewers.contains_key(c)).or(self.last_good);
         match open.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
             Some((conn, v)) => {
-                self.dos.push(Do::Write { conn, bytes: viewer::release_request(owed.id, owed.cause) });
-                v.releases.retain(|o| owed.since - o.since < limits::RELEASE_KEPT);
-                v.releases.truncate(limits::RELEASES - 1);
+                self.dos.push(IoAction::Write { conn, bytes: viewer::release_request(owed.id, owed.cause) });
+                v.releases.retain(|o| owed.since - o.since < limits::RELEASE_RETENTION);
+                v.releases.truncate(limits::MAX_PENDING_RELEASES - 1);
                 v.releases.push_back(owed);
             }
             None => {
-                if self.owed.len() >= limits::RELEASES {
+                if self.owed.len() >= limits::MAX_PENDING_RELEASES {
                     self.owed.pop_front();
                 }
                 self.owed.push_back(owed);
@@ -332,7 +339,7 @@
         }
     }
 
-    fn hand_out_owed(&mut self, conn: ConnId) {
+    fn hand_out_owed(&mut self, conn: ConnectionId) {
         while let Some(o) = self.owed.pop_front() {
             self.write_release(o, Some(conn));
         }
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -2,8 +2,8 @@
 //! what the core says to it.
 use super::socket::{Heard, Peer, Side, Socket};
 use super::{Clock, News};
+use crate::actions::{ConnectionEnd, ConnectionId, IoAction};
 use crate::core::Node;
-use crate::exchange::{ConnId, Do, End};
 use crate::limits;
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Token};
@@ -72,7 +72,7 @@
     listener: TcpListener,
     names: Datagrams,
     peers: Option<Datagrams>,
-    open: HashMap<ConnId, Socket>,
+    open: HashMap<ConnectionId, Socket>,
     /// How many of them are viewers', and may be at most: a few more than the core holds, which closes one for each
     /// that comes in beyond.
     viewers: usize,
@@ -81,9 +81,9 @@
     coming: bool,
     coming_from: Ms,
     /// Connections that may hold something to read.
-    unread: VecDeque<ConnId>,
+    unread: VecDeque<ConnectionId>,
     /// Connections with a backlog.
-    behind: Vec<ConnId>,
+    behind: Vec<ConnectionId>,
     held: Vec<Held>,
     /// When the last poll told what came in.
     woke: Ms,
@@ -118,7 +118,7 @@
         let peers =
             peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::MAX_DATAGRAM_BYTES + 1)).transpose()?;
         Ok(Hub {
-            most_viewers: node.most_viewers() + limits::VIEWERS_OVER,
+            most_viewers: node.max_viewer_connections() + limits::EXTRA_VIEWER_CONNECTIONS,
             node,
             clock,
             poll,
@@ -153,7 +153,7 @@
                 match news {
                     News::Configured(told) => {
                         tracing::info!(target: "walnutline::mode", names = %told.name_service, "configuration read anew");
-                        self.node.configured(*told, self.woke);
+                        self.node.apply_configuration(*told, self.woke);
                     }
                     News::Stop { at } => self.node.stop(at),
                 }
@@ -164,7 +164,7 @@
                     NAMES => self.names.queued = true,
                     PEERS => self.peers.iter_mut().for_each(|p| p.queued = true),
                     SIGNALS => {}
-                    Token(conn) => self.queue(ConnId(conn as u64)),
+                    Token(conn) => self.queue(ConnectionId(conn as u64)),
                 }
             }
             for _ in 0..self.unread.len() {
@@ -172,7 +172,7 @@
             }
             self.accept(self.most_viewers);
             self.hear_datagrams();
-            self.node.attend(self.clock.now());
+            self.node.handle_timers(self.clock.now());
             self.perform();
             self.try_held();
             self.catch_up();
@@ -183,7 +183,7 @@
     /// How long nothing is to be done unless something comes in.
     fn wait(&self) -> Ms {
         let now = self.clock.now();
-        let mut wait = (self.node.next_at(now) - now).clamp(0.0, 1_000.0);
+        let mut wait = (self.node.next_call_at(now) - now).clamp(0.0, 1_000.0);
         if !self.behind.is_empty() || !self.held.is_empty() {
             wait = wait.min(AGAIN);
         }
@@ -200,7 +200,7 @@
     // ---- what comes in ----
 
     /// A connection may hold something to read.
-    fn queue(&mut self, conn: ConnId) {
+    fn queue(&mut self, conn: ConnectionId) {
         if let Some(socket) = self.open.get_mut(&conn).filter(|s| !s.queued) {
             socket.queued = true;
             self.unread.push_back(conn);
@@ -216,19 +216,19 @@
             match socket.came_up() {
                 Ok(false) => return,
                 Ok(true) => {
-                    self.node.connected(conn, self.clock.now());
+                    self.node.server_connected(conn, self.clock.now());
                     self.perform();
                 }
                 Err(e) => return self.ended(conn, connecting_ended(&e)),
             }
         }
-        let mut buffer = [0; limits::PIECE];
-        for _ in 0..limits::PIECES {
+        let mut buffer = [0; limits::READ_BUFFER_BYTES];
+        for _ in 0..limits::MAX_CONSECUTIVE_READS {
             let Some(socket) = self.open.get_mut(&conn) else { return };
             match socket.read(&mut buffer) {
                 Heard::Bytes(n) => {
                     tracing::trace!(target: "walnutline::bytes", conn = conn.0, "in {}", buffer[..n].escape_ascii());
-                    self.node.bytes(conn, &buffer[..n], self.woke, self.clock.now());
+                    self.node.bytes_received(conn, &buffer[..n], self.woke, self.clock.now());
                     // An answer goes out before anything else is looked at: until its viewer has it, its session
                     // may be over already.
                     self.perform();
@@ -241,14 +241,14 @@
     }
 
     /// A connection is over.
-    fn ended(&mut self, conn: ConnId, end: End) {
+    fn ended(&mut self, conn: ConnectionId, end: ConnectionEnd) {
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "closed {end:?}");
         self.remove(conn);
-        self.node.closed(conn, end, self.clock.now());
+        self.node.connection_closed(conn, end, self.clock.now());
         self.perform();
     }
 
-    fn remove(&mut self, conn: ConnId) -> Option<Socket> {
+    fn remove(&mut self, conn: ConnectionId) -> Option<Socket> {
         let socket = self.open.remove(&conn)?;
         self.viewers -= usize::from(socket.side == Side::Viewer);
         Some(socket)
@@ -280,10 +280,10 @@
     }
 
     fn accepted(&mut self, socket: Socket, now: Ms) {
-        let conn = self.node.conn();
+        let conn = self.node.new_connection_id();
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "accepted");
         if self.add(conn, socket).is_ok() {
-            self.node.accepted(conn, now);
+            self.node.viewer_accepted(conn, now);
             // Its first request is often there with it.
             self.queue(conn);
             // Room is made at once, and not only after all that come in.
@@ -291,7 +291,7 @@
         }
     }
 
-    fn add(&mut self, conn: ConnId, mut socket: Socket) -> io::Result<()> {
+    fn add(&mut self, conn: ConnectionId, mut socket: Socket) -> io::Result<()> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut socket.stream, Token(conn.0 as usize), interest)?;
         self.viewers += usize::from(socket.side == Side::Viewer);
@@ -302,12 +302,12 @@
     fn hear_datagrams(&mut self) {
         for _ in 0..TURN {
             let Some((from, bytes)) = self.names.next() else { break };
-            self.node.datagram(from, bytes, self.clock.now());
+            self.node.name_service_datagram(from, bytes, self.clock.now());
         }
         let Some(peers) = &mut self.peers else { return };
         for _ in 0..TURN {
             let Some((from, bytes)) = peers.next() else { break };
-            self.node.peer(from, bytes, self.clock.now());
+            self.node.peer_datagram(from, bytes, self.clock.now());
         }
     }
 
@@ -316,7 +316,7 @@
     /// Does what the core says, and what it says to what comes of that at once.
     fn perform(&mut self) {
         loop {
-            let dos = self.node.take();
+            let dos = self.node.take_actions();
             if dos.is_empty() {
                 return;
             }
@@ -324,34 +324,34 @@
         }
     }
 
-    fn perform_one(&mut self, what: Do) {
+    fn perform_one(&mut self, what: IoAction) {
         match what {
-            Do::Connect { conn, address } => {
+            IoAction::Connect { conn, address } => {
                 tracing::trace!(target: "walnutline::bytes", conn = conn.0, "connect {address}");
                 if let Err(e) = Socket::connect(address).and_then(|socket| self.add(conn, socket)) {
-                    self.node.closed(conn, connecting_ended(&e), self.clock.now());
+                    self.node.connection_closed(conn, connecting_ended(&e), self.clock.now());
                 }
             }
-            Do::Write { conn, bytes } => self.write(conn, &bytes),
-            Do::Setup { id, no } => self.setup(Held { id, no, since: self.clock.now() }),
-            Do::Retire { conn } => self.retire(conn),
-            Do::Close { conn } => {
+            IoAction::Write { conn, bytes } => self.write(conn, &bytes),
+            IoAction::OfferSetup { id, attempt: no } => self.setup(Held { id, no, since: self.clock.now() }),
+            IoAction::CloseIfIdle { conn } => self.retire(conn),
+            IoAction::Close { conn } => {
                 tracing::trace!(target: "walnutline::bytes", conn = conn.0, "close");
                 if let Some(socket) = self.remove(conn) {
                     socket.shut(Shutdown::Both);
                 }
             }
-            Do::Query { to, bytes } => {
+            IoAction::SendListQuery { to, bytes } => {
                 // A question that is lost is asked again.
                 let _ = self.names.socket.send_to(&bytes, to);
             }
-            Do::Tell { to, bytes } => {
+            IoAction::SendPeerReports { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     let _ = peers.socket.send_to(&bytes, to);
                 }
             }
-            Do::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
-            Do::Exit { at_once } => self.exit = Some(at_once),
+            IoAction::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
+            IoAction::Exit { at_once } => self.exit = Some(at_once),
         }
     }
 
@@ -359,18 +359,18 @@
     /// the core does not know of it.
     fn setup(&mut self, held: Held) {
         let now = self.clock.now();
-        let Some((viewer, conn)) = self.node.offered(held.id, held.no) else { return };
+        let Some((viewer, conn)) = self.node.offered_setup_connections(held.id, held.no) else { return };
         let peer = self.open.get(&viewer).map_or(Peer::Gone, Socket::peer);
-        if peer == Peer::Unheard && now - held.since < limits::UNHEARD {
+        if peer == Peer::Unheard && now - held.since < limits::MAX_SETUP_HOLD {
             self.queue(viewer);
             return self.held.push(held);
         }
         if peer == Peer::Gone {
             self.remove(viewer);
-            return self.node.closed(viewer, End::Closed, now);
+            return self.node.connection_closed(viewer, ConnectionEnd::Closed, now);
         }
         if self.open.get(&conn).is_some_and(Socket::is_behind) {
-            self.node.setup_stuck(held.id, held.no, now);
+            self.node.setup_blocked(held.id, held.no, now);
         } else if let Some(bytes) = self.node.send_setup(held.id, held.no, now) {
             self.write(conn, &bytes);
         }
@@ -382,20 +382,20 @@
     }
 
     /// Closes a viewer's connection on which nothing is open, unless something is on its way.
-    fn retire(&mut self, conn: ConnId) {
+    fn retire(&mut self, conn: ConnectionId) {
         let now = self.clock.now();
         let Some(socket) = self.open.get(&conn) else { return };
         if socket.peer() == Peer::Unheard || socket.is_behind() {
             self.queue(conn);
-            return self.node.stays(conn, now);
+            return self.node.connection_in_use(conn, now);
         }
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "retire");
         socket.shut(Shutdown::Both);
         self.remove(conn);
-        self.node.closed(conn, End::Closed, now);
+        self.node.connection_closed(conn, ConnectionEnd::Closed, now);
     }
 
-    fn write(&mut self, conn: ConnId, bytes: &[u8]) {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let Some(socket) = self.open.get_mut(&conn) else { return };
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "out {}", bytes.escape_ascii());
         let behind = socket.is_behind();
@@ -446,9 +446,9 @@
         let mut last: Vec<Socket> =
             self.open.drain().map(|(_, s)| s).filter(|s| s.side == Side::Viewer).collect();
         last.iter().for_each(|s| s.shut(Shutdown::Write));
-        let until = self.clock.now() + if at_once { 0.0 } else { limits::LAST_BYTES };
+        let until = self.clock.now() + if at_once { 0.0 } else { limits::SHUTDOWN_READ_TIMEOUT };
         let mut events = Events::with_capacity(EVENTS);
-        let mut buffer = [0; limits::PIECE];
+        let mut buffer = [0; limits::READ_BUFFER_BYTES];
         loop {
             last.retain_mut(|s| {
                 // One that sends without end is left to its reset.
@@ -465,16 +465,16 @@
             }
             let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(left / 1_000.0)));
         }
-        tracing::info!(target: "walnutline::mode", "stopped {}", self.node.account());
+        tracing::info!(target: "walnutline::mode", "stopped {}", self.node.request_counts());
         std::process::exit(0);
     }
 }
 
 /// What the failure to open a connection tells of its server.
-fn connecting_ended(e: &io::Error) -> End {
+fn connecting_ended(e: &io::Error) -> ConnectionEnd {
     match e.raw_os_error() {
-        Some(libc::ECONNREFUSED) => End::Refused,
-        Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => End::Unopened,
-        _ => End::Closed,
+        Some(libc::ECONNREFUSED) => ConnectionEnd::Refused,
+        Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => ConnectionEnd::Unopened,
+        _ => ConnectionEnd::Closed,
     }
 }
--- a/crates/node/src/edge/socket.rs
+++ b/crates/node/src/edge/socket.rs
@@ -1,5 +1,5 @@
 //! A TCP connection as the hub holds it: read and written without waiting, polled by edges.
-use crate::exchange::End;
+use crate::actions::ConnectionEnd;
 use crate::limits;
 use mio::net::{TcpListener, TcpStream};
 use socket2::{Domain, Protocol, SockAddr, Type};
@@ -41,7 +41,7 @@
 pub(crate) enum Heard {
     Bytes(usize),
     Nothing,
-    End(End),
+    End(ConnectionEnd),
 }
 
 impl Socket {
@@ -84,11 +84,11 @@
     pub fn read(&mut self, buffer: &mut [u8]) -> Heard {
         loop {
             match self.stream.read(buffer) {
-                Ok(0) => return Heard::End(End::Closed),
+                Ok(0) => return Heard::End(ConnectionEnd::Closed),
                 Ok(n) => return Heard::Bytes(n),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock && !self.broken => return Heard::Nothing,
-                Err(_) => return Heard::End(End::Closed),
+                Err(_) => return Heard::End(ConnectionEnd::Closed),
             }
         }
     }
@@ -111,7 +111,7 @@
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         let taken = if self.backlog.is_empty() { self.take(bytes) } else { Ok(0) };
         match taken {
-            Ok(n) if self.backlog.len() + bytes.len() - n <= limits::BACKLOG => {
+            Ok(n) if self.backlog.len() + bytes.len() - n <= limits::MAX_BACKLOG_BYTES => {
                 self.backlog.extend_from_slice(&bytes[n..]);
             }
             _ => self.breaks(),
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use support::{release, reply, wanted, World, NODE};
 use test_case::test_case;
-use walnutline_node::exchange::{ConnId, End};
+use walnutline_node::actions::{ConnectionEnd, ConnectionId};
 use walnutline_node::limits;
 
 #[test]
@@ -88,7 +88,8 @@
 fn a_flood_on_one_connection_is_turned_away_beyond_its_limit() {
     let mut w = World::new();
     let viewer = w.viewer();
-    let flood: String = (1..=limits::OPEN_SETUPS as u64 + 5).map(|id| wanted(id, "")).collect();
+    let flood: String =
+        (1..=limits::MAX_OPEN_SETUPS_PER_VIEWER as u64 + 5).map(|id| wanted(id, "")).collect();
     w.says(viewer, &flood);
     let turned_away = w.out.iter().filter(|(c, t)| *c == viewer && t.starts_with("RTSP/1.0 503")).count();
     assert_eq!(turned_away, 5);
@@ -185,14 +186,14 @@
     let mut w = World::new();
     let (viewer, server) = w.standing(1);
     w.open_at_once = false;
-    w.ends(server, End::Closed);
+    w.ends(server, ConnectionEnd::Closed);
     assert_eq!(w.find("cause="), None, "a reset connection proves no death");
     let again = w.connecting.pop().expect("a connection where its releases can come");
-    w.node.connected(again, w.now);
+    w.node.server_connected(again, w.now);
     w.run();
-    w.ends(again, End::Closed);
+    w.ends(again, ConnectionEnd::Closed);
     let refused = w.connecting.pop().unwrap();
-    w.ends(refused, End::Refused);
+    w.ends(refused, ConnectionEnd::Refused);
     assert_eq!(w.find("cause=41").unwrap().0, viewer);
 }
 
@@ -210,7 +211,7 @@
         w.pass(210.0);
         *w.connecting.iter().find(|c| w.servers[c] == w.servers[&server]).expect("a further connection")
     });
-    w.ends(breaks, End::Refused);
+    w.ends(breaks, ConnectionEnd::Refused);
     assert_eq!(w.find("cause=41"), None);
     w.says(server, &release(1, 16));
     assert!(w.find("cause=16").is_some());
@@ -261,7 +262,7 @@
         w.says(viewer, &wanted(1, "").replace("copies:2", "copies:1"));
         w.pass(10.0);
         let conn = w.connecting.pop().unwrap();
-        w.node.connected(conn, w.now);
+        w.node.server_connected(conn, w.now);
         w.setup_of(1);
         w.says(conn, &reply(200, 1, ""));
         (viewer, conn)
@@ -272,23 +273,23 @@
                 Figure: 1\r\nContent-Length: 0\r\n\r\n";
     let died = |w: &mut World| w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at.is_some();
     // Silent for so long that new connections are tried, which do not open.
-    w.pass(limits::TEST_AFTER + limits::TEST_WAIT + 400.0);
+    w.pass(limits::PING_AFTER_SILENCE + limits::PING_TIMEOUT + 400.0);
     let second = w.connecting.pop().expect("a new connection");
     w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
-    w.ends(second, End::Closed);
+    w.ends(second, ConnectionEnd::Closed);
     w.says(server, note);
     assert!(died(&mut w), "may have been on its way");
-    w.pass(limits::ON_ITS_WAY * 2.0);
+    w.pass(limits::MAX_DELIVERY_DELAY * 2.0);
     w.says(server, note);
     assert!(!died(&mut w), "the same process");
     // Its connection is reset, and it takes another one at once.
     w.says(viewer, &wanted(2, "").replace("copies:2", "copies:1"));
     w.setup_of(2);
     w.says(server, &reply(200, 2, ""));
-    w.ends(server, End::Closed);
+    w.ends(server, ConnectionEnd::Closed);
     w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     let next = w.connecting.pop().expect("opened anew");
-    w.node.connected(next, w.now);
+    w.node.server_connected(next, w.now);
     assert!(!died(&mut w), "one that ends is not back at once");
 }
 
@@ -321,8 +322,8 @@
     let (_, server) = w.standing(1);
     w.open_at_once = false;
     let id = *w.node.desk.front.fleet.servers.keys().next().unwrap();
-    w.pass(limits::SAME_PROCESS * 1.5);
-    w.ends(server, End::Closed);
+    w.pass(limits::MIN_PROCESS_RESTART_TIME * 1.5);
+    w.ends(server, ConnectionEnd::Closed);
     w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     let entry = |server| ServerStatus {
         name_hash: hash_server_name(server),
@@ -332,10 +333,10 @@
         known_uptime_ms: 0.0,
     };
     w.pass(50.0);
-    w.node.peer(PEER.parse().unwrap(), &encode(&[entry("s-00000001"), entry("s-00000002")]), w.now);
+    w.node.peer_datagram(PEER.parse().unwrap(), &encode(&[entry("s-00000001"), entry("s-00000002")]), w.now);
     w.run();
     let next = w.connecting.pop().expect("opened anew");
-    w.node.connected(next, w.now);
+    w.node.server_connected(next, w.now);
     assert!(w.node.desk.front.fleet.servers[&id].died_at.is_some());
 }
 
@@ -358,8 +359,8 @@
         w.out.clear();
         for _ in 0..8 {
             w.pass(500.0);
-            w.node.peer(from, &told, w.now);
-            w.node.peer(from, &told[..told.len() - 1], w.now);
+            w.node.peer_datagram(from, &told, w.now);
+            w.node.peer_datagram(from, &told[..told.len() - 1], w.now);
             w.run();
         }
         assert_eq!(w.find("rtsp://media/ping").is_some(), tested, "{from}");
@@ -379,7 +380,7 @@
     w.pass(30_000.0);
     assert_eq!(w.find("cause=41"), None);
     let open = w.servers.values().filter(|a| **a == address).count();
-    assert!(open <= limits::LINES, "{open} connections");
+    assert!(open <= limits::MAX_CONNECTIONS_PER_SERVER, "{open} connections");
 }
 
 /// A server sends again what may have been lost on the connection that is opened next: that one is kept, and
@@ -391,13 +392,13 @@
     let (viewer, server) = w.standing(1);
     let address = w.servers[&server];
     let mut newest = server;
-    for _ in 0..2 * limits::LINES {
-        w.pass(limits::TEST_AFTER);
+    for _ in 0..2 * limits::MAX_CONNECTIONS_PER_SERVER {
+        w.pass(limits::PING_AFTER_SILENCE);
         let at = w.servers.iter().filter(|(_, a)| **a == address).map(|(c, _)| *c);
         newest = at.max().unwrap();
     }
-    assert!(newest.0 > server.0 + limits::LINES as u64 - 1, "{newest:?}");
-    let until = w.now + 4.0 * limits::TEST_AFTER;
+    assert!(newest.0 > server.0 + limits::MAX_CONNECTIONS_PER_SERVER as u64 - 1, "{newest:?}");
+    let until = w.now + 4.0 * limits::PING_AFTER_SILENCE;
     while w.servers.contains_key(&newest) && w.now < until {
         let last = w.servers.iter().filter(|(_, a)| **a == address).map(|(c, _)| *c).max().unwrap();
         assert_eq!(w.closed.iter().filter(|c| **c == last).count(), 0, "the newest is closed");
@@ -412,7 +413,7 @@
 fn a_release_waits_for_a_connection_that_brings_a_set_up() {
     let mut w = World::new();
     let (viewer, server) = w.standing(1);
-    w.ends(viewer, End::Closed);
+    w.ends(viewer, ConnectionEnd::Closed);
     w.says(server, &release(1, 16));
     assert_eq!(w.find("cause=16"), None);
     let silent = w.viewer();
@@ -450,7 +451,7 @@
     let mut w = World::new();
     let good = w.viewer();
     w.says(good, &wanted(1, ""));
-    for _ in 1..w.node.most_viewers() {
+    for _ in 1..w.node.max_viewer_connections() {
         w.viewer();
     }
     assert!(w.closed.is_empty());
@@ -486,9 +487,9 @@
     // Not in step with what is looked over every 250 ms.
     w.pass(130.0);
     w.node.stop(w.now);
-    w.pass(limits::LONGEST_STOP + limits::LAST_SESSIONS - 1.0);
+    w.pass(limits::MAX_SHUTDOWN_WAIT + limits::SHUTDOWN_SESSION_GRACE - 1.0);
     assert!(!w.exited);
-    w.pass(limits::END_LOOK + 2.0);
+    w.pass(limits::SHUTDOWN_CHECK_INTERVAL + 2.0);
     assert!(w.exited);
 }
 
@@ -501,13 +502,13 @@
     let address = w.servers[&server];
     w.says(viewer, &release(1, 31));
     w.open_at_once = false;
-    let at: Vec<ConnId> = w.servers.iter().filter(|(_, a)| **a == address).map(|(c, _)| *c).collect();
-    at.into_iter().for_each(|conn| w.ends(conn, End::Closed));
+    let at: Vec<ConnectionId> = w.servers.iter().filter(|(_, a)| **a == address).map(|(c, _)| *c).collect();
+    at.into_iter().for_each(|conn| w.ends(conn, ConnectionEnd::Closed));
     let mut tried = 0;
     for _ in 0..40 {
         while let Some(conn) = w.connecting.pop() {
             tried += 1;
-            w.ends(conn, End::Closed);
+            w.ends(conn, ConnectionEnd::Closed);
         }
         w.pass(250.0);
     }
@@ -554,7 +555,7 @@
     w.says(viewer, &wanted(1, ""));
     for _ in 0..20 {
         while let Some(conn) = w.connecting.pop() {
-            w.ends(conn, End::Unopened);
+            w.ends(conn, ConnectionEnd::Unopened);
         }
         w.pass(20.0);
     }
@@ -590,9 +591,9 @@
         let target = format!("s-{:08x}.{}{n}.hosts", 100 + n, names[n as usize % 6]);
         let told = list(&w, 10 + n, Some((&target, [127, 0, 0, 1], 5_061)));
         let names = w.queries.last().unwrap().0;
-        w.node.datagram(names, &told, w.now);
+        w.node.name_service_datagram(names, &told, w.now);
         w.run();
-        w.pass(limits::SWEEP * 2.0);
+        w.pass(limits::SWEEP_INTERVAL * 2.0);
         numbers.extend(w.node.desk.front.fleet.servers.values().map(|s| s.entry.zone.0));
     }
     assert!(numbers.len() <= 4, "{numbers:?}");
@@ -638,8 +639,8 @@
     let (head, rest) = NODE.split_once("\"known\"").unwrap();
     let document = format!("{head}{known},\"settings\"{}", rest.split_once("\"settings\"").unwrap().1);
     let mut w = World::with(&document);
-    let room = 256 - limits::OWN_DESCRIPTORS - w.node.most_viewers();
-    assert!(w.node.most_viewers() >= 256 / 3, "viewers keep their third");
+    let room = 256 - limits::RESERVED_DESCRIPTORS - w.node.max_viewer_connections();
+    assert!(w.node.max_viewer_connections() >= 256 / 3, "viewers keep their third");
     let viewer = w.viewer();
     let mut opened = std::collections::BTreeSet::new();
     let mut seen = |w: &World| {
@@ -689,22 +690,22 @@
     w.pass(POLL);
     let names = w.queries.last().unwrap().0;
     let old = list(&w, 2, None);
-    w.node.datagram(names, &old, w.now);
+    w.node.name_service_datagram(names, &old, w.now);
     w.run();
     assert_eq!(w.node.desk.front.fleet.servers.len(), 2, "an older list");
     w.pass(POLL);
     let new = list(&w, 9, Some(("s-0000000a.depot-a.hosts", ip.octets(), here.port())));
-    w.node.datagram("127.0.0.9:53".parse().unwrap(), &new, w.now);
+    w.node.name_service_datagram("127.0.0.9:53".parse().unwrap(), &new, w.now);
     assert_eq!(w.node.desk.front.fleet.servers.len(), 2, "from elsewhere");
-    w.node.datagram(names, &new, w.now);
+    w.node.name_service_datagram(names, &new, w.now);
     w.run();
     assert_eq!(w.find("cause="), None, "the old process still has its connections");
-    w.ends(server, End::Closed);
-    w.pass(limits::SWEEP * 2.0);
+    w.ends(server, ConnectionEnd::Closed);
+    w.pass(limits::SWEEP_INTERVAL * 2.0);
     while let Some(conn) = w.servers.keys().next().copied().filter(|c| c.0 <= server.0) {
-        w.ends(conn, End::Closed);
+        w.ends(conn, ConnectionEnd::Closed);
     }
-    w.pass(limits::SWEEP * 2.0);
+    w.pass(limits::SWEEP_INTERVAL * 2.0);
     assert_eq!(w.find("cause=41").unwrap().0, viewer);
     assert_eq!(w.node.desk.front.fleet.servers.len(), 1, "those gone are forgotten");
 }
@@ -719,14 +720,14 @@
     w.says(viewer, &at);
     w.pass(500.0);
     let old = *w.servers.keys().next().unwrap();
-    w.ends(old, End::Closed);
+    w.ends(old, ConnectionEnd::Closed);
     w.says(viewer, &wanted(2, "").replace("copies:2", "copies:1"));
     let (new, _) = w.setup_of(2);
     w.says(new, &reply(200, 2, ""));
     w.pass(POLL);
     let line = ("s-00000001.depot-a.hosts", [127, 0, 0, 1], 5061);
     let told = list_of(&w, 9, Some(line), "started=1700000000450");
-    w.node.datagram(w.queries.last().unwrap().0, &told, w.now);
+    w.node.name_service_datagram(w.queries.last().unwrap().0, &told, w.now);
     w.run();
     assert!(
         w.find("cause=41").is_some_and(|(_, t)| t.contains("Session: 0000000000000001")),
@@ -744,7 +745,7 @@
     let mut w = World::new();
     w.open_at_once = false;
     for conn in w.servers.keys().copied().collect::<Vec<_>>() {
-        w.ends(conn, End::Closed);
+        w.ends(conn, ConnectionEnd::Closed);
     }
     // Their loads are known, so that none is probed first.
     for server in w.node.desk.front.fleet.servers.keys().copied().collect::<Vec<_>>() {
@@ -756,10 +757,10 @@
     w.pass(POLL);
     let none = list(&w, 9, None);
     let names = w.queries.last().unwrap().0;
-    w.node.datagram(names, &none, w.now);
+    w.node.name_service_datagram(names, &none, w.now);
     w.run();
     assert!(w.find("RTSP/1.0 503").is_some_and(|(conn, _)| conn == viewer), "{:?}", w.out);
-    w.node.connected(waits, w.now);
+    w.node.server_connected(waits, w.now);
     w.run();
     assert_eq!(w.find("SETUP"), None);
 }
@@ -784,12 +785,12 @@
 fn a_new_configuration_names_another_name_service() {
     let mut w = World::new();
     let told = NODE.replace("127.0.0.1:1053", "127.0.0.2:1054");
-    w.node.configured(walnutline_platform::configuration::parse(&told).unwrap(), w.now);
+    w.node.apply_configuration(walnutline_platform::configuration::parse(&told).unwrap(), w.now);
     w.run();
     assert_eq!(w.queries.last().unwrap().0, "127.0.0.2:1054".parse().unwrap());
     // Told again and again, it asks no more often than before.
     for _ in 0..20 {
-        w.node.configured(walnutline_platform::configuration::parse(&told).unwrap(), w.now);
+        w.node.apply_configuration(walnutline_platform::configuration::parse(&told).unwrap(), w.now);
     }
     w.run();
     w.queries.clear();
@@ -802,7 +803,7 @@
 struct Seen {
     answers: u32,
     releases: u32,
-    out_at: Option<ConnId>,
+    out_at: Option<ConnectionId>,
     came: f64,
 }
 
@@ -839,7 +840,7 @@
         let viewer = w.viewer();
         let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
         for (step, which) in steps {
-            let out: Vec<(u64, ConnId)> = seen.iter().filter_map(|(id, s)| Some((*id, s.out_at?))).collect();
+            let out: Vec<(u64, ConnectionId)> = seen.iter().filter_map(|(id, s)| Some((*id, s.out_at?))).collect();
             let any_out = (!out.is_empty()).then(|| *which.get(&out));
             let any_id = (!seen.is_empty()).then(|| *which.get(&seen.keys().copied().collect::<Vec<_>>()));
             match (step, any_out, any_id) {
@@ -855,10 +856,10 @@
                 }
                 (4, Some((_, conn)), _) => {
                     seen.values_mut().filter(|s| s.out_at == Some(conn)).for_each(|s| s.out_at = None);
-                    w.ends(conn, End::Closed);
+                    w.ends(conn, ConnectionEnd::Closed);
                 }
                 (5, _, Some(id)) => {
-                    let conns: Vec<ConnId> = w.servers.keys().copied().collect();
+                    let conns: Vec<ConnectionId> = w.servers.keys().copied().collect();
                     if !conns.is_empty() {
                         let conn = *which.get(&conns);
                         let s = seen.get_mut(&id).unwrap();
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -6,7 +6,7 @@
 
 use support::{reply, wanted, World, NODE};
 use test_case::test_case;
-use walnutline_node::exchange::End;
+use walnutline_node::actions::ConnectionEnd;
 use walnutline_platform::peers::{self, ServerStatus};
 
 const NODES: usize = 350;
@@ -38,7 +38,7 @@
     let lines: Vec<_> = (0..SERVERS).map(line).collect();
     let answer = dns::list(&question, 9, &lines, "started=0");
     assert!(answer.len() > 8_000, "{} bytes", answer.len());
-    w.node.datagram(names, &answer, w.now);
+    w.node.name_service_datagram(names, &answer, w.now);
     w.run();
     let listed = |w: &World| w.node.desk.front.fleet.servers.len();
     w.pass(1_000.0);
@@ -60,9 +60,9 @@
     let news = peers::encode(&[entry]);
     let heard = |w: &World| w.node.desk.front.fleet.servers.values().filter(|s| s.link_use.is_some()).count();
     let before = heard(&w);
-    w.node.peer("10.9.9.9:7946".parse().unwrap(), &news, w.now);
+    w.node.peer_datagram("10.9.9.9:7946".parse().unwrap(), &news, w.now);
     assert_eq!(heard(&w), before, "a stranger");
-    w.node.peer(node_address(NODES - 1).parse().unwrap(), &news, w.now);
+    w.node.peer_datagram(node_address(NODES - 1).parse().unwrap(), &news, w.now);
     assert_eq!(heard(&w), before + 1, "the last of the nodes");
 }
 
@@ -79,14 +79,14 @@
     let (first, _) = w.setup_of(1);
     let (names, question) = w.queries.last().unwrap().clone();
     let line = ("s-0000000a.depot-a.hosts", [10, 1, 0, 9], 5_060);
-    w.node.datagram(names, &dns::list(&question, 40, &[line], "started=0"), w.now);
-    w.node.attend(w.now);
+    w.node.name_service_datagram(names, &dns::list(&question, 40, &[line], "started=0"), w.now);
+    w.node.handle_timers(w.now);
     w.run();
     assert_eq!(w.find("RTSP/1.0"), None, "nothing is over yet");
     let from = if answers {
         first
     } else {
-        w.ends(first, End::Closed);
+        w.ends(first, ConnectionEnd::Closed);
         w.setup_of(1).0
     };
     w.says(from, &reply(200, 1, "good\r\n"));
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! A world without sockets round a node's core: connections open as they are told to, and what is written is kept.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use walnutline_node::actions::{ConnectionEnd, ConnectionId, IoAction};
 use walnutline_node::core::Node;
-use walnutline_node::exchange::{ConnId, Do, End};
 use walnutline_platform::configuration;
 
 pub const NODE: &str = include_str!("../../../platform/tests/node.json");
@@ -11,18 +11,18 @@
     pub node: Node,
     pub now: f64,
     /// Connections to servers, opened or being opened.
-    pub servers: BTreeMap<ConnId, SocketAddr>,
-    pub connecting: Vec<ConnId>,
+    pub servers: BTreeMap<ConnectionId, SocketAddr>,
+    pub connecting: Vec<ConnectionId>,
     /// What was written where, oldest first.
-    pub out: Vec<(ConnId, String)>,
-    pub closed: Vec<ConnId>,
+    pub out: Vec<(ConnectionId, String)>,
+    pub closed: Vec<ConnectionId>,
     pub queries: Vec<(SocketAddr, Vec<u8>)>,
     pub exited: bool,
     /// Viewers that have gone or have something unheard, and connections to servers that take nothing.
-    pub gone: Vec<ConnId>,
-    pub unheard: Vec<ConnId>,
-    pub stuck: Vec<ConnId>,
-    held: Vec<Do>,
+    pub gone: Vec<ConnectionId>,
+    pub unheard: Vec<ConnectionId>,
+    pub stuck: Vec<ConnectionId>,
+    held: Vec<IoAction>,
     /// Servers whose connections come up at once.
     pub open_at_once: bool,
 }
@@ -58,51 +58,55 @@
     pub fn run(&mut self) {
         let mut held = std::mem::take(&mut self.held);
         loop {
-            let mut dos = self.node.take();
+            let mut dos = self.node.take_actions();
             dos.append(&mut held);
             if dos.is_empty() {
                 return;
             }
             for what in dos {
                 match what {
-                    Do::Connect { conn, address } => {
+                    IoAction::Connect { conn, address } => {
                         self.servers.insert(conn, address);
                         if self.open_at_once {
-                            self.node.connected(conn, self.now);
+                            self.node.server_connected(conn, self.now);
                         } else {
                             self.connecting.push(conn);
                         }
                     }
-                    Do::Write { conn, bytes } => {
+                    IoAction::Write { conn, bytes } => {
                         self.out.push((conn, String::from_utf8_lossy(&bytes).into_owned()))
                     }
-                    Do::Setup { id, no } => {
+                    IoAction::OfferSetup { id, attempt: no } => {
                         // As the edge does: one who is gone gets no SETUP, and one whose words are unheard
                         // none yet.
-                        let Some((viewer, conn)) = self.node.offered(id, no) else { continue };
+                        let Some((viewer, conn)) = self.node.offered_setup_connections(id, no) else {
+                            continue;
+                        };
                         if self.unheard.contains(&viewer) {
-                            self.held.push(Do::Setup { id, no });
+                            self.held.push(IoAction::OfferSetup { id, attempt: no });
                         } else if self.gone.contains(&viewer) {
-                            self.node.closed(viewer, End::Closed, self.now);
+                            self.node.connection_closed(viewer, ConnectionEnd::Closed, self.now);
                         } else if self.stuck.contains(&conn) {
-                            self.node.setup_stuck(id, no, self.now);
+                            self.node.setup_blocked(id, no, self.now);
                         } else if let Some(bytes) = self.node.send_setup(id, no, self.now) {
                             self.out.push((conn, String::from_utf8_lossy(&bytes).into_owned()));
                         }
                     }
-                    Do::Retire { conn } if self.unheard.contains(&conn) => self.node.stays(conn, self.now),
-                    Do::Retire { conn } => {
+                    IoAction::CloseIfIdle { conn } if self.unheard.contains(&conn) => {
+                        self.node.connection_in_use(conn, self.now)
+                    }
+                    IoAction::CloseIfIdle { conn } => {
                         self.closed.push(conn);
-                        self.node.closed(conn, End::Closed, self.now);
+                        self.node.connection_closed(conn, ConnectionEnd::Closed, self.now);
                     }
-                    Do::Close { conn } => {
+                    IoAction::Close { conn } => {
                         self.servers.remove(&conn);
                         self.connecting.retain(|c| *c != conn);
                         self.closed.push(conn);
                     }
-                    Do::Query { to, bytes } => self.queries.push((to, bytes)),
-                    Do::Tell { .. } | Do::Log(_) => {}
-                    Do::Exit { .. } => self.exited = true,
+                    IoAction::SendListQuery { to, bytes } => self.queries.push((to, bytes)),
+                    IoAction::SendPeerReports { .. } | IoAction::Log(_) => {}
+                    IoAction::Exit { .. } => self.exited = true,
                 }
             }
         }
@@ -112,34 +116,34 @@
     pub fn pass(&mut self, ms: f64) {
         let until = self.now + ms;
         while self.now < until {
-            self.now = self.node.next_at(self.now).max(self.now + 0.1).min(until);
-            self.node.attend(self.now);
+            self.now = self.node.next_call_at(self.now).max(self.now + 0.1).min(until);
+            self.node.handle_timers(self.now);
             self.run();
         }
     }
 
-    pub fn viewer(&mut self) -> ConnId {
-        let conn = self.node.conn();
-        self.node.accepted(conn, self.now);
+    pub fn viewer(&mut self) -> ConnectionId {
+        let conn = self.node.new_connection_id();
+        self.node.viewer_accepted(conn, self.now);
         self.run();
         conn
     }
 
-    pub fn says(&mut self, conn: ConnId, text: &str) {
-        self.node.bytes(conn, text.as_bytes(), self.now, self.now);
-        self.node.attend(self.now);
+    pub fn says(&mut self, conn: ConnectionId, text: &str) {
+        self.node.bytes_received(conn, text.as_bytes(), self.now, self.now);
+        self.node.handle_timers(self.now);
         self.run();
     }
 
-    pub fn ends(&mut self, conn: ConnId, end: End) {
+    pub fn ends(&mut self, conn: ConnectionId, end: ConnectionEnd) {
         self.servers.remove(&conn);
-        self.node.closed(conn, end, self.now);
-        self.node.attend(self.now);
+        self.node.connection_closed(conn, end, self.now);
+        self.node.handle_timers(self.now);
         self.run();
     }
 
     /// What was written and holds this, with its connection; each is found once.
-    pub fn find(&mut self, what: &str) -> Option<(ConnId, String)> {
+    pub fn find(&mut self, what: &str) -> Option<(ConnectionId, String)> {
         let at = self.out.iter().position(|(_, text)| text.contains(what))?;
         Some(self.out.remove(at))
     }
@@ -154,7 +158,7 @@
     }
 
     /// Answers probes until a SETUP of this id goes out.
-    pub fn setup_of(&mut self, id: u64) -> (ConnId, String) {
+    pub fn setup_of(&mut self, id: u64) -> (ConnectionId, String) {
         let session = format!("Session: {id:016x}");
         for _ in 0..200 {
             self.answer_probes();
@@ -169,7 +173,7 @@
     }
 
     /// A session that stands: its viewer's connection and its server's.
-    pub fn standing(&mut self, id: u64) -> (ConnId, ConnId) {
+    pub fn standing(&mut self, id: u64) -> (ConnectionId, ConnectionId) {
         let viewer = self.viewer();
         self.says(viewer, &wanted(id, "a=1\r\n"));
         let (server, _) = self.setup_of(id);
