--- a/crates/catalogue-store/src/lib.rs
+++ b/crates/catalogue-store/src/lib.rs
@@ -1,9 +1,9 @@
 //! Crash-safe storage of a catalogue. A folder holds `changes.redb`, the write-ahead log of changes, and
 //! `snapshot-N.wcat`, whole versions as of change N. [`retention`] decides what may be removed.
 //!
-//! A batch is in the log and synced to disk before [`Store::append`] returns. A snapshot is written under a temporary name
-//! and renamed once it is complete and synced. So after a crash at any moment, the last batch is stored as a whole or
-//! not at all.
+//! A batch is in the log and synced to disk before [`Store::append`] returns. A snapshot is written under a temporary
+//! name and renamed once it is complete and synced. So after a crash at any moment, the last batch is stored as a
+//! whole or not at all.
 use redb::{Database, ReadableDatabase, ReadableTableMetadata, TableDefinition};
 use std::fs::{self, File};
 use std::io::{Read, Write};
@@ -39,8 +39,8 @@
     move |e| StoreError(format!("{}: {e}", path.display()))
 }
 
-/// Called during a long operation with the number of titles done and of all titles. A total of 0 means unknown, and that
-/// the parts of a snapshot are counted instead.
+/// Called during a long operation with the number of titles done and of all titles. A total of 0 means unknown, and
+/// that the parts of a snapshot are counted instead.
 pub type Progress<'a> = &'a mut dyn FnMut(u64, u64);
 
 /// The complete snapshots in a folder by change number, the newest first.
@@ -219,7 +219,8 @@
         }
     }
 
-    /// Appends a batch to the log. When this returns, the batch is synced to disk as a whole, or not stored on an error.
+    /// Appends a batch to the log. On success it is synced to disk. On an error it is stored as a whole or not at
+    /// all.
     pub fn append(&self, batch: &[NumberedChange]) -> Result<(), StoreError> {
         let transaction = self.db.begin_write().map_err(store_error(&self.db_path))?;
         {
--- a/crates/catalogue-store/tests/crashes.rs
+++ b/crates/catalogue-store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Recovery of a store after the process was killed at any moment, or its files were truncated or damaged. The recovered
-//! version is consistent and never older than the last batch that was reported as stored.
+//! Recovery of a store after the process was killed at any moment, or its files were truncated or damaged. The
+//! recovered version is consistent and never older than the last batch that was reported as stored.
 use proptest::prelude::*;
 use std::fs;
 use std::io::{BufRead, BufReader};
--- a/crates/catalogue/src/advisor.rs
+++ b/crates/catalogue/src/advisor.rs
@@ -1,5 +1,5 @@
-//! Catalogue data for single requests, and what is learned from the stream of requests: demand for titles, boxes worth
-//! probing, and differences from the catalogue. It never changes the list of holders of a request.
+//! Catalogue data for single requests, and what is learned from the stream of requests: demand for titles, boxes
+//! worth probing, and differences from the catalogue. It never changes the list of holders of a request.
 use crate::demand::DemandSketch;
 use crate::differences::{ComparedRequest, Difference, DifferenceTracker};
 use crate::name_index::hash_name;
@@ -13,8 +13,8 @@
 /// Time after which a request counts half in the demand sketch.
 const DEMAND_HALF_LIFE: Ms = 10_000.0;
 
-/// Returns the true rates of a title in kB/s, one for each rung. `None` if the catalogue does not list exactly `rungs`
-/// rates for it.
+/// Returns the true rates of a title in kB/s, one for each rung. `None` if the catalogue does not list exactly
+/// `rungs` rates for it.
 pub fn title_rates(version: &Version, title: &str, rungs: usize) -> Option<Arc<[f64]>> {
     let title = version.title(title).filter(|t| t.rates().len() == rungs)?;
     Some(title.rates().map(f64::from).collect())
--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -4,10 +4,12 @@
 /// A title as the catalogue lists it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Title {
+    /// Its name, which is unique in the catalogue.
     pub name: String,
     /// True rate at each rung of the ladder, in kB/s, ascending.
     pub rates: Vec<f32>,
-    /// Service groups that may play the title: bit `n` stands for [`Version::groups`](crate::version::Version::groups)`[n]`.
+    /// Service groups that may play the title: bit `n` stands for
+    /// [`Version::groups`](crate::version::Version::groups)`[n]`.
     pub group_mask: u32,
     /// Duration in milliseconds.
     pub duration_ms: u32,
--- a/crates/catalogue/src/cow_array.rs
+++ b/crates/catalogue/src/cow_array.rs
@@ -1,11 +1,13 @@
-//! Copy-on-write arrays, split into pages that clones share. Cloning an array copies one pointer for each page. Changing
-//! an element first copies its page if another clone still uses it. A read takes two array accesses at any length.
+//! Copy-on-write arrays, split into pages that clones share. Cloning an array copies one pointer for each page.
+//! Changing an element first copies its page if another clone still uses it. A read takes two array accesses at any
+//! length.
 //!
-//! Growth: 8 bytes for each page of [`PAGE_LEN`] elements, in addition to the elements. A clone with `n` scattered changes
-//! holds up to `n` pages of its own.
+//! Growth: 8 bytes for each page of [`PAGE_LEN`] elements, in addition to the elements. A clone with `n` scattered
+//! changes holds up to `n` pages of its own.
 use std::sync::Arc;
 
-/// Elements in a page. At this size copying a page takes about a microsecond, and 2 000 000 titles need 8 000 pointers.
+/// Elements in a page. At this size copying a page takes about a microsecond, and 2 000 000 titles need 8 000
+/// pointers.
 pub const PAGE_LEN: usize = 256;
 
 /// A growable array whose clones share unchanged pages.
@@ -73,7 +75,9 @@
     proptest! {
         /// Clones taken at any time keep their content through later changes.
         #[test]
-        fn behaves_like_a_vector_and_clones_stay_unchanged(steps in prop::collection::vec((0u8..4, 0usize..2_000, any::<u16>()), 1..300)) {
+        fn behaves_like_a_vector_and_clones_stay_unchanged(
+            steps in prop::collection::vec((0u8..4, 0usize..2_000, any::<u16>()), 1..300),
+        ) {
             let (mut array, mut model) = (CowArray::default(), Vec::new());
             let mut clones: Vec<(CowArray<u16>, Vec<u16>)> = Vec::new();
             for (operation, index, value) in steps {
--- a/crates/catalogue/src/current.rs
+++ b/crates/catalogue/src/current.rs
@@ -1,9 +1,9 @@
-//! The current version of the catalogue. Readers load it without waiting for the writer, and a version lives until its
-//! last reader releases it.
+//! The current version of the catalogue. Readers load it without waiting for the writer, and a version lives until
+//! its last reader releases it.
 //!
 //! Freeing a large version takes as long as walking through it. So that this work does not fall on the request that
-//! happens to be the last reader, the writer keeps replaced versions, and [`VersionWriter::reclaim`] frees them once no
-//! reader has them.
+//! happens to be the last reader, the writer keeps replaced versions, and [`VersionWriter::reclaim`] frees them once
+//! no reader has them.
 use crate::version::Version;
 use arc_swap::ArcSwap;
 use std::sync::Arc;
--- a/crates/catalogue/src/demand.rs
+++ b/crates/catalogue/src/demand.rs
@@ -1,9 +1,10 @@
-//! The titles with the highest demand, in fixed memory: Space-Saving (Metwally, Agrawal and El Abbadi, 2005) over weights that
-//! decay with age (forward decay: Cormode, Shkapenyuk, Srivastava and Xu, 2009).
+//! The titles with the highest demand, in fixed memory: Space-Saving (Metwally, Agrawal and El Abbadi, 2005) over
+//! weights that decay with age (forward decay: Cormode, Shkapenyuk, Srivastava and Xu, 2009).
 //!
-//! Error bounds at any time, for capacity `k` and total decayed weight `W` of all requests: the reported weight of a title
-//! is never below its true decayed weight and exceeds it by at most `W / k`, and every title of a true weight above
-//! `W / k` is tracked. Growth: about 60 bytes for each of the `k` entries. Recording a request takes `O(log k)`.
+//! Error bounds at any time, for capacity `k` and total decayed weight `W` of all requests: the reported weight of a
+//! title is never below its true decayed weight and exceeds it by at most `W / k`, and every title of a true weight
+//! above `W / k` is tracked. Growth: about 60 bytes for each of the `k` entries. Recording a request takes
+//! `O(log k)`.
 use std::collections::HashMap;
 use walnutline::ids::Ms;
 
--- a/crates/catalogue/src/differences.rs
+++ b/crates/catalogue/src/differences.rs
@@ -1,5 +1,5 @@
-//! Differences between requests and the catalogue. The request always wins; differences are only reported. Each kind is
-//! counted by box, and reported once for each state of the title.
+//! Differences between requests and the catalogue. The request always wins; differences are only reported. Each kind
+//! is counted by box, and reported once for each state of the title.
 //!
 //! Growth: one counter for each kind and box. At most [`MAX_REMEMBERED`] reported differences are remembered, and the
 //! oldest is forgotten first: a flood of title names causes repeated log lines, but takes no more memory.
--- a/crates/catalogue/src/follower.rs
+++ b/crates/catalogue/src/follower.rs
@@ -1,5 +1,5 @@
-//! The state of a consumer of the change feed: which change is applied, and what to fetch next. Changes are collected for
-//! a short time into batches, so that a burst of them makes few versions.
+//! The state of a consumer of the change feed: which change is applied, and what to fetch next. Changes are collected
+//! for a short time into batches, so that a burst of them makes few versions.
 use crate::change::{ApplyError, NumberedChange};
 use walnutline::ids::Ms;
 
@@ -12,8 +12,8 @@
 
 /// Returns how long a background thread should pause after a step of work that took `worked`. A thread that wakes to
 /// answer a viewer may find its processor busy with the step, and waits until the step or the time slice ends. Short
-/// steps with pauses between them bound that delay, where thread priorities alone did not (docs/design/catalogue.md). A
-/// pause as long as the step also halves the probability of the delay.
+/// steps with pauses between them bound that delay, where thread priorities alone did not (docs/design/catalogue.md).
+/// A pause as long as the step also halves the probability of the delay.
 pub fn pause_after(worked: Ms) -> Ms {
     worked.min(MAX_PAUSE)
 }
@@ -132,10 +132,12 @@
     }
 
     proptest! {
-        /// With changes lost, repeated or reordered in the feed, the version always matches its number, and an intact feed
-        /// from the requested position brings it up to date.
+        /// With changes lost, repeated or reordered in the feed, the version always matches its number, and an intact
+        /// feed from the requested position brings it up to date.
         #[test]
-        fn versions_stay_consistent_with_any_order_of_changes(received in prop::collection::vec((1u64..12, 0u8..3), 0..60)) {
+        fn versions_stay_consistent_with_any_order_of_changes(
+            received in prop::collection::vec((1u64..12, 0u8..3), 0..60),
+        ) {
             let (mut follower, mut version) = (FeedFollower::resume_from(Some(0)), version_after(0));
             let apply = |follower: &mut FeedFollower, version: &mut Version| {
                 let batch = follower.take_batch();
--- a/crates/catalogue/src/name_index.rs
+++ b/crates/catalogue/src/name_index.rs
@@ -1,9 +1,9 @@
-//! Index of titles by name: from the hash of a name to the positions of titles, in pages that versions share. Each page
-//! holds the hashes with a common bit prefix, in ascending order. Names are not stored here: the caller compares the
-//! name at each returned position.
+//! Index of titles by name: from the hash of a name to the positions of titles, in pages that versions share. Each
+//! page holds the hashes with a common bit prefix, in ascending order. Names are not stored here: the caller compares
+//! the name at each returned position.
 //!
 //! Growth: 16 bytes for each title. A look-up reads one page of a few hundred entries, starting where the hash is
-//! expected. A change copies one page. All pages are split at once when they reach [`MAX_MEAN_PAGE_LEN`] entries on
+//! expected. A change copies one page. All pages are split at once when they reach `MAX_MEAN_PAGE_LEN` entries on
 //! average.
 use std::sync::Arc;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// Hashes a name: FNV-1a with a final mix, since the leading bits select the page. Names come from the publisher and not
-/// from viewers, so outsiders cannot choose colliding ones. The index stays correct if they collide.
+/// Hashes a name: FNV-1a with a final mix, since the leading bits select the page. Names come from the publisher and
+/// not from viewers, so outsiders cannot choose colliding ones. The index stays correct if they collide.
 pub fn hash_name(name: &str) -> u64 {
     hash_bytes(name.as_bytes())
 }
@@ -66,8 +66,9 @@
         page[start..].iter().take_while(move |e| e.0 == hash).map(|e| e.1)
     }
 
-    /// Index of the first entry of a page that is not below a hash. Hashes are evenly distributed, so the search starts at
-    /// the expected index. It touches fewer cache lines than a binary search, which touches one in each step.
+    /// Index of the first entry of a page that is not below a hash. Hashes are evenly distributed, so the search
+    /// starts at the expected index. It touches fewer cache lines than a binary search, which touches one in each
+    /// step.
     fn lower_bound(&self, page: &[(u64, u32)], hash: u64) -> usize {
         let suffix = hash.checked_shl(self.page_bits).unwrap_or(0);
         let mut index = ((u128::from(suffix) * page.len() as u128) >> 64) as usize;
@@ -125,7 +126,9 @@
     proptest! {
         /// Checked against a plain set, with hashes that often collide or share their leading bits.
         #[test]
-        fn behaves_like_a_set_and_clones_stay_unchanged(steps in prop::collection::vec((any::<bool>(), 0u64..400, 0u32..3, any::<bool>()), 0..1_500)) {
+        fn behaves_like_a_set_and_clones_stay_unchanged(
+            steps in prop::collection::vec((any::<bool>(), 0u64..400, 0u32..3, any::<bool>()), 0..1_500),
+        ) {
             let (mut names, mut model) = (NameIndex::default(), BTreeSet::new());
             let mut cloned = None;
             for (n, (add, base, position, shared_prefix)) in steps.into_iter().enumerate() {
--- a/crates/catalogue/src/packed_title.rs
+++ b/crates/catalogue/src/packed_title.rs
@@ -158,8 +158,8 @@
     out.push(n as u8);
 }
 
-/// Reads an unsigned LEB128 varint. Returns the number and its length in bytes; `None` if it is truncated or longer than
-/// 5 bytes.
+/// Reads an unsigned LEB128 varint. Returns the number and its length in bytes; `None` if it is truncated or longer
+/// than 5 bytes.
 fn read_varint(bytes: &[u8]) -> Option<(u64, usize)> {
     let mut n = 0;
     for (index, byte) in bytes.iter().take(5).enumerate() {
@@ -294,7 +294,12 @@
 
         /// Truncated or changed bytes are either a valid title or rejected with an offset within their length.
         #[test]
-        fn damaged_bytes_are_rejected_with_an_offset(t in title(), at in any::<prop::sample::Index>(), b in any::<u8>(), cut in any::<prop::sample::Index>()) {
+        fn damaged_bytes_are_rejected_with_an_offset(
+            t in title(),
+            at in any::<prop::sample::Index>(),
+            b in any::<u8>(),
+            cut in any::<prop::sample::Index>(),
+        ) {
             let mut bytes = PackedTitle::new(&t).unwrap().as_bytes().to_vec();
             let short = cut.index(bytes.len());
             prop_assert!(PackedTitle::parse(&bytes[..short]).unwrap_err().offset <= short);
--- a/crates/catalogue/src/prefix_trie.rs
+++ b/crates/catalogue/src/prefix_trie.rs
@@ -1,9 +1,10 @@
-//! Titles by name prefix, in name order: a burst trie (Heinz, Zobel and Williams, 2002) whose nodes versions share. Inner
-//! nodes branch on one byte. A leaf is a bucket with the positions of up to [`BUCKET_CAPACITY`] titles in name order, and
-//! bursts into an inner node beyond that. Names are not stored here: the caller passes a function from a position to its name.
+//! Titles by name prefix, in name order: a burst trie (Heinz, Zobel and Williams, 2002) whose nodes versions share.
+//! Inner nodes branch on one byte. A leaf is a bucket with the positions of up to `BUCKET_CAPACITY` titles in name
+//! order, and bursts into an inner node beyond that. Names are not stored here: the caller passes a function from a
+//! position to its name.
 //!
-//! Growth: 4 bytes for each title, and the spare capacity of the buckets. A change copies the nodes on one path, at most
-//! as many as the name has bytes, and one bucket.
+//! Growth: 4 bytes for each title, and the spare capacity of the buckets. A change copies the nodes on one path, at
+//! most as many as the name has bytes, and one bucket.
 use std::sync::Arc;
 
 /// Positions in a bucket before it bursts.
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Positions of the first `limit` titles, in name order, whose names start with `prefix` and, if `after` is given, come
-    /// after it.
+    /// Positions of the first `limit` titles, in name order, whose names start with `prefix` and, if `after` is
+    /// given, come after it.
     pub fn find<'a>(
         &self,
         prefix: &str,
@@ -112,8 +113,8 @@
             Some(a) if a > prefix => return found,
             _ => None,
         };
-        // A stack of nodes to visit, the next one last, each with its depth and whether its path is a prefix of `after`.
-        // It takes the place of recursion, which could go as deep as names are long.
+        // A stack of nodes to visit, the next one last, each with its depth and whether its path is a prefix of
+        // `after`. It takes the place of recursion, which could go as deep as names are long.
         let mut stack = vec![(node, depth, after.is_some())];
         while let Some((node, depth, on_after_path)) = stack.pop() {
             if found.len() >= limit {
--- a/crates/catalogue/src/probe_planner.rs
+++ b/crates/catalogue/src/probe_planner.rs
@@ -1,7 +1,7 @@
 //! Plans probes of boxes ahead of requests, within a budget.
 //!
-//! The value of probing a box is the demand that is likely to reach it: the demand for each title is divided among its
-//! available holders. So holders of titles in demand come first, and among titles of equal demand those with few
+//! The value of probing a box is the demand that is likely to reach it: the demand for each title is divided among
+//! its available holders. So holders of titles in demand come first, and among titles of equal demand those with few
 //! holders. Each accepted request adds a fraction of a probe to the budget. Without requests nothing is probed.
 use crate::demand::DemandSketch;
 use crate::version::Version;
@@ -51,8 +51,8 @@
         self.saved_probes >= 1.0 && now - self.last_plan >= PLAN_INTERVAL
     }
 
-    /// Returns the boxes to probe now, the most valuable first, and charges them to the budget. `last_report_at` gives the
-    /// time of the last report of a box; `None` for a box that must not be probed.
+    /// Returns the boxes to probe now, the most valuable first, and charges them to the budget. `last_report_at`
+    /// gives the time of the last report of a box; `None` for a box that must not be probed.
     pub fn probe_targets(
         &mut self,
         demand: &DemandSketch,
@@ -146,7 +146,8 @@
     }
 
     proptest! {
-        /// Probes never exceed what requests added to the budget, nor, at one time, the configured maximum of saved probes.
+        /// Probes never exceed what requests added to the budget, nor, at one time, the configured maximum of saved
+        /// probes.
         #[test]
         fn probes_stay_within_the_budget(
             per_request in 0.0f64..1.5,
--- a/crates/catalogue/src/retention.rs
+++ b/crates/catalogue/src/retention.rs
@@ -1,10 +1,12 @@
-//! Retention of stored catalogue data: when a snapshot is due, which snapshots are kept, and which changes may be removed.
+//! Retention of stored catalogue data: when a snapshot is due, which snapshots are kept, and which changes may be
+//! removed.
 
 /// Snapshots that are kept: the newest, and one more in case the newest turns out to be unreadable.
 const KEPT_SNAPSHOTS: usize = 2;
 /// Fewest changes between two snapshots.
 const MIN_CHANGES: u64 = 50_000;
-/// Fewest changes between two snapshots as a share of the titles, since the cost of a snapshot grows with the catalogue.
+/// Fewest changes between two snapshots as a share of the titles, since the cost of a snapshot grows with the
+/// catalogue.
 const MIN_CHANGES_PER_TITLE: f64 = 0.1;
 
 /// Whether a snapshot is due, given the changes since the last one and the number of titles.
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The binary encoding of a whole version: a header, service groups and boxes, blocks of titles, and an end block. Each
-//! part has its own CRC-32, so that an error has an offset and no data of a damaged part is used.
+//! The binary encoding of a whole version: a header, service groups and boxes, blocks of titles, and an end block.
+//! Each part has its own CRC-32, so that an error has an offset and no data of a damaged part is used.
 //!
 //! ```text
 //! header   "WNLNCAT1"  number u64  titles u64  boxes u32  bytes of groups u32           crc u32
@@ -16,8 +16,8 @@
 const MAGIC: &[u8; 8] = b"WNLNCAT1";
 /// Length of the header with its checksum.
 pub const HEADER_BYTES: usize = 36;
-/// Size from which a block is closed. A reader takes a few tenths of a millisecond for one, so that a background load can
-/// pause between blocks.
+/// Size from which a block is closed. A reader takes a few tenths of a millisecond for one, so that a background load
+/// can pause between blocks.
 const BLOCK_BYTES: usize = 4 << 10;
 /// Largest block that a reader accepts.
 const MAX_BLOCK_BYTES: usize = 1 << 20;
--- a/crates/catalogue/src/version.rs
+++ b/crates/catalogue/src/version.rs
@@ -2,8 +2,8 @@
 //! under-replicated titles, which have at most one available holder.
 //!
 //! Growth: a title takes its packed bytes, 16 bytes for its position, 16 in the index by name, 4 to 6 in the index by
-//! prefix, and 2 to 4 for each holder. A new version copies 16 bytes for every 256 titles, and the data that its batch
-//! changes.
+//! prefix, and 2 to 4 for each holder. A new version copies 16 bytes for every 256 titles, and the data that its
+//! batch changes.
 use crate::change::{ApplyError, Change, NumberedChange, Title};
 use crate::cow_array::CowArray;
 use crate::name_index::{hash_name, NameIndex};
@@ -96,7 +96,8 @@
         self.titles.iter().flatten()
     }
 
-    /// The first `limit` titles, in name order, whose names start with `prefix` and, if `after` is given, come after it.
+    /// The first `limit` titles, in name order, whose names start with `prefix` and, if `after` is given, come after
+    /// it.
     pub fn titles_with_prefix(&self, prefix: &str, after: Option<&str>, limit: usize) -> Vec<&PackedTitle> {
         let found = self.prefixes.find(prefix, after, limit, |p| name_at(&self.titles, p));
         found.into_iter().filter_map(|p| self.title_at(p)).collect()
@@ -150,8 +151,8 @@
         (self.under_replicated[0].len(), self.under_replicated[1].len())
     }
 
-    /// Titles that would be unreachable if these boxes failed too: all their available holders are among them. The cost
-    /// grows with the titles on these boxes, not with the catalogue.
+    /// Titles that would be unreachable if these boxes failed too: all their available holders are among them. The
+    /// cost grows with the titles on these boxes, not with the catalogue.
     pub fn unreachable_without(&self, servers: &[ServerId]) -> Vec<&PackedTitle> {
         let mut positions = RoaringBitmap::new();
         for entry in servers.iter().filter_map(|s| self.boxes.get(s)) {
@@ -161,8 +162,8 @@
         positions.iter().filter_map(|p| self.title_at(p)).filter(unreachable).collect()
     }
 
-    /// Returns a new version with a batch of changes applied. Changes that this version contains already are skipped. On
-    /// a missing or contradicting change the whole batch is rejected.
+    /// Returns a new version with a batch of changes applied. Changes that this version contains already are skipped.
+    /// On a missing or contradicting change the whole batch is rejected.
     pub fn with_changes(&self, batch: &[NumberedChange]) -> Result<Version, ApplyError> {
         let mut next = self.clone();
         for numbered in batch.iter().filter(|n| n.number > self.number) {
--- a/crates/catalogue/tests/snapshots.rs
+++ b/crates/catalogue/tests/snapshots.rs
@@ -115,7 +115,10 @@
 
 proptest! {
     #[test]
-    fn random_bytes_are_rejected_without_a_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..200), with_magic in any::<bool>()) {
+    fn random_bytes_are_rejected_without_a_panic(
+        mut bytes in prop::collection::vec(any::<u8>(), 0..200),
+        with_magic in any::<bool>(),
+    ) {
         if with_magic {
             bytes.splice(0..0, *b"WNLNCAT1");
         }
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -153,8 +153,8 @@
 }
 
 proptest! {
-    /// With batches that repeat changes, leave a gap or contradict the state, a version always equals a state of the model,
-    /// and earlier versions never change.
+    /// With batches that repeat changes, leave a gap or contradict the state, a version always equals a state of the
+    /// model, and earlier versions never change.
     #[test]
     fn versions_match_the_model_and_stay_unchanged(
         batches in prop::collection::vec((prop::collection::vec(changes(), 0..5), -3i64..4), 1..40),
@@ -165,8 +165,11 @@
             // Most batches continue the sequence, some repeat known changes, and some leave a gap.
             let first = version.number().saturating_add_signed(shift.min(1)) + 1;
             let first = if shift > 1 { version.number() + 1 } else { first };
-            let numbered: Vec<NumberedChange> =
-                batch.into_iter().enumerate().map(|(n, change)| NumberedChange { number: first + n as u64, change }).collect();
+            let numbered: Vec<NumberedChange> = batch
+                .into_iter()
+                .enumerate()
+                .map(|(n, change)| NumberedChange { number: first + n as u64, change })
+                .collect();
             let mut next = model.clone();
             let new: Vec<&NumberedChange> = numbered.iter().filter(|n| n.number > version.number()).collect();
             let gap = new.first().is_some_and(|n| n.number != version.number() + 1);
