--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,13 +1,15 @@
-//! What the core tells its edge to do, and what connections are called between them.
+//! What the core asks the edge to do, and the types by which both refer to connections.
 use std::net::SocketAddr;
 use walnutline::ids::SessionId;
 
-/// One TCP connection; numbers are never used again.
+/// Identifies one TCP connection. Numbers are not reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
+/// An action that the core asks of the edge.
 #[derive(Debug, Clone, PartialEq)]
 pub enum IoAction {
+    /// Open a connection to a server.
     Connect {
         conn: ConnectionId,
         address: SocketAddr,
@@ -16,46 +18,47 @@
         conn: ConnectionId,
         bytes: Vec<u8>,
     },
-    /// A SETUP may go out, if its viewer is still there. [`crate::core::Node::offered_setup_connections`] tells whose it is and
-    /// where it goes by then, [`crate::core::Node::send_setup`] makes it, and
-    /// [`crate::core::Node::setup_blocked`] is told that the connection takes nothing now.
+    /// Send a SETUP if its viewer is still connected. [`crate::core::Node::offered_setup_connections`] returns the
+    /// connections of its viewer and its server, [`crate::core::Node::send_setup`] its bytes. If the server's
+    /// connection can't take it now, [`crate::core::Node::setup_blocked`] is to be called instead.
     OfferSetup {
         id: SessionId,
         attempt: u32,
     },
-    /// After what was written; nothing more of it is told or taken.
+    /// Close a connection once what was written before is out. The core neither reports on it nor accepts input from
+    /// it any more.
     Close {
         conn: ConnectionId,
     },
-    /// A viewer's connection on which nothing is open may be closed, if nothing more of it is on its way in
-    /// or out: answered by [`crate::core::Node::connection_closed`] or by [`crate::core::Node::connection_in_use`].
+    /// Close a viewer's connection without open set-ups, unless data is on its way in either direction. The edge answers
+    /// with [`crate::core::Node::connection_closed`] or [`crate::core::Node::connection_in_use`].
     CloseIfIdle {
         conn: ConnectionId,
     },
-    /// A datagram to the name service.
+    /// Send a datagram to the name service.
     SendListQuery {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// A datagram to all other front nodes.
+    /// Send a datagram to all other front nodes.
     SendPeerReports {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
     Log(String),
-    /// The process may end once what came in has been heard and what was written has gone out; `at_once`: as
-    /// it is.
+    /// End the process once all input has been handled and all output is sent, or without waiting for either with
+    /// `at_once`.
     Exit {
         at_once: bool,
     },
 }
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Nobody listens there.
+    /// No process listens at the address.
     Refused,
     Closed,
-    /// There was no descriptor for it, or no memory: that tells nothing of the peer.
+    /// This node lacked a descriptor or memory for it, which says nothing about the peer.
     Unopened,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,10 @@
 //! The front node on the operators' platform.
 //!
-//! - [`core`]: all sessions, connections and time-outs, without I/O: events with their time in, [`IoAction`]s out.
-//!   What a session needs next is asked of the decisions through the desk.
-//! - [`limits`]: what a peer may take, and why so much.
-//! - [`edge`]: sockets, threads and signals round the core.
+//! - [`core`]: all sessions, connections and time-outs, without I/O: takes events with their times and returns
+//!   [`IoAction`]s. The decisions on a session are made by the desk.
+//! - [`actions`]: the interface between the core and the edge.
+//! - [`limits`]: limits and time-outs for viewers and servers, with their reasons.
+//! - [`edge`]: sockets, threads and signals around the core.
 //!
 //! [`IoAction`]: actions::IoAction
 pub mod actions;
