--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -7,14 +7,14 @@
 use walnutline::ids::Ms;
 
 impl Node {
-    /// When [`Node::handle_timers`] is to be called next at the latest.
+    /// When [`Node::process_due`] is to be called next at the latest.
     pub fn next_call_at(&self, now: Ms) -> Ms {
         let held_back = self.stall.holds_back(now).unwrap_or(Ms::NEG_INFINITY);
         self.timers.next_at().map_or(self.again_at, |t| t.max(held_back).min(self.again_at))
     }
 
     /// Does what is due; to be called after each round of events and whenever [`Node::next_call_at`] has come.
-    pub fn handle_timers(&mut self, now: Ms) {
+    pub fn process_due(&mut self, now: Ms) {
         self.clock = now;
         if let Some(late) = self.stall.woke(now) {
             self.dos.push(IoAction::Log(format!("stalled for={late:.0}")));
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -172,7 +172,7 @@
             }
             self.accept(self.most_viewers);
             self.hear_datagrams();
-            self.node.handle_timers(self.clock.now());
+            self.node.process_due(self.clock.now());
             self.perform();
             self.try_held();
             self.catch_up();
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -80,7 +80,7 @@
     let (names, question) = w.queries.last().unwrap().clone();
     let line = ("s-0000000a.depot-a.hosts", [10, 1, 0, 9], 5_060);
     w.node.name_service_datagram(names, &dns::list(&question, 40, &[line], "started=0"), w.now);
-    w.node.handle_timers(w.now);
+    w.node.process_due(w.now);
     w.run();
     assert_eq!(w.find("RTSP/1.0"), None, "nothing is over yet");
     let from = if answers {
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -117,7 +117,7 @@
         let until = self.now + ms;
         while self.now < until {
             self.now = self.node.next_call_at(self.now).max(self.now + 0.1).min(until);
-            self.node.handle_timers(self.now);
+            self.node.process_due(self.now);
             self.run();
         }
     }
@@ -131,14 +131,14 @@
 
     pub fn says(&mut self, conn: ConnectionId, text: &str) {
         self.node.bytes_received(conn, text.as_bytes(), self.now, self.now);
-        self.node.handle_timers(self.now);
+        self.node.process_due(self.now);
         self.run();
     }
 
     pub fn ends(&mut self, conn: ConnectionId, end: ConnectionEnd) {
         self.servers.remove(&conn);
         self.node.connection_closed(conn, end, self.now);
-        self.node.handle_timers(self.now);
+        self.node.process_due(self.now);
         self.run();
     }
 
