--- a/crates/desk/src/backoff.rs
+++ b/crates/desk/src/backoff.rs
@@ -1,29 +1,32 @@
-//! How long to wait before a connection is tried again.
+//! Delays between attempts to open a connection.
 use walnutline::ids::Ms;
 
-/// The first wait, and the longest. Doubling in between reaches the longest after six tries.
-const FIRST: Ms = 100.0;
-const LONGEST: Ms = 5_000.0;
-/// A wait is drawn from this share of itself up to the whole: peers that lost the same box at the same moment
-/// do not come back together.
-const JITTER_FROM: f64 = 0.5;
+/// Delay after the first failure.
+const FIRST_DELAY: Ms = 100.0;
+/// Upper bound of the delay, reached by doubling after six failures.
+const MAX_DELAY: Ms = 5_000.0;
+/// The random delay is at least this share of the nominal one. The jitter keeps peers that lost the same box at the
+/// same moment from reconnecting together.
+const MIN_JITTER_FACTOR: f64 = 0.5;
 
-/// Waits that grow with each failure in a row and are drawn by chance.
+/// Exponential backoff with jitter.
 #[derive(Debug, Clone, Default)]
 pub struct Backoff {
-    fails: u32,
+    /// Failures since the last success.
+    failures: u32,
 }
 
 impl Backoff {
-    /// The wait after one more failure, in milliseconds.
+    /// Counts a failure and returns the delay before the next attempt.
     pub fn next_delay(&mut self, rng: &mut fastrand::Rng) -> Ms {
-        let whole = (FIRST * 2f64.powi(self.fails.min(16) as i32)).min(LONGEST);
-        self.fails = self.fails.saturating_add(1);
-        whole * (JITTER_FROM + (1.0 - JITTER_FROM) * rng.f64())
+        let nominal = (FIRST_DELAY * 2f64.powi(self.failures.min(16) as i32)).min(MAX_DELAY);
+        self.failures = self.failures.saturating_add(1);
+        nominal * (MIN_JITTER_FACTOR + (1.0 - MIN_JITTER_FACTOR) * rng.f64())
     }
 
+    /// An attempt succeeded: the next failure starts with the shortest delay.
     pub fn reset(&mut self) {
-        self.fails = 0;
+        self.failures = 0;
     }
 }
 
@@ -32,13 +35,13 @@
     use super::*;
 
     #[test]
-    fn waits_grow_to_the_longest_and_start_over() {
-        let (mut retry, mut rng) = (Backoff::default(), fastrand::Rng::with_seed(1));
-        let waits: Vec<Ms> = (0..40).map(|_| retry.next_delay(&mut rng)).collect();
-        assert!((50.0..=100.0).contains(&waits[0]), "{waits:?}");
-        assert!(waits[10..].iter().all(|w| (2_500.0..=5_000.0).contains(w)), "{waits:?}");
-        assert!(waits[10..].windows(2).any(|w| w[0] != w[1]), "not drawn by chance: {waits:?}");
-        retry.reset();
-        assert!(retry.next_delay(&mut rng) <= 100.0);
+    fn delays_grow_to_the_maximum_and_start_over_after_a_reset() {
+        let (mut backoff, mut rng) = (Backoff::default(), fastrand::Rng::with_seed(1));
+        let delays: Vec<Ms> = (0..40).map(|_| backoff.next_delay(&mut rng)).collect();
+        assert!((50.0..=100.0).contains(&delays[0]), "{delays:?}");
+        assert!(delays[10..].iter().all(|delay| (2_500.0..=5_000.0).contains(delay)), "{delays:?}");
+        assert!(delays[10..].windows(2).any(|pair| pair[0] != pair[1]), "delays without jitter: {delays:?}");
+        backoff.reset();
+        assert!(backoff.next_delay(&mut rng) <= 100.0);
     }
 }
--- a/crates/desk/src/stall_detector.rs
+++ b/crates/desk/src/stall_detector.rs
@@ -1,37 +1,40 @@
-//! Whether this process stood still (stopped, swapped out, starved), and what is not to be judged for it.
+//! Detects that this process was suspended (stopped, swapped out, starved of processor time) and defers time-outs
+//! after it.
 use walnutline::ids::Ms;
 
-/// A wake-up that comes this much after it was due tells of a stall.
-const LATE: Ms = 100.0;
-/// How long time-outs then wait for what already stands in the sockets to be read.
-const GRACE: Ms = 40.0;
+/// A wake-up that is late by this much or more counts as a stall.
+const STALL_THRESHOLD: Ms = 100.0;
+/// How long time-outs are deferred after a stall, while what the sockets already hold is read.
+const TIMEOUT_GRACE: Ms = 40.0;
 
-/// After a stall, answers that came in time stand unread in the sockets while every time-out is due. Fired at
-/// once, they would set sound boxes aside and send further SETUPs beside ones that were answered. So
-/// time-outs wait a moment; a viewer's own time is not held back by this.
+/// After a stall, answers that arrived in time are still unread in the sockets while every time-out is due. If the
+/// time-outs fired at once, they would exclude healthy boxes and send further SETUPs for sessions that were answered.
+/// So time-outs are deferred for a moment. The deadline of a viewer is not.
 #[derive(Debug, Default)]
 pub struct StallDetector {
+    /// When the process is due to wake up.
     due_at: Option<Ms>,
+    /// When the deferral of time-outs ends.
     grace_until: Option<Ms>,
 }
 
 impl StallDetector {
-    /// The process wakes; returns how long it stood still, where it did.
+    /// Records that the process woke up; returns the length of a stall, if there was one.
     pub fn record_wakeup(&mut self, now: Ms) -> Option<Ms> {
-        let late = now - self.due_at.take()?;
-        if late < LATE {
+        let late_by = now - self.due_at.take()?;
+        if late_by < STALL_THRESHOLD {
             return None;
         }
-        self.grace_until = Some(now + GRACE);
-        Some(late)
+        self.grace_until = Some(now + TIMEOUT_GRACE);
+        Some(late_by)
     }
 
-    /// The process goes to sleep until then.
+    /// The process goes to sleep and is due to wake up at this time.
     pub fn expect_wakeup_at(&mut self, at: Ms) {
         self.due_at = Some(at);
     }
 
-    /// When time-outs may fire again, where they have to wait.
+    /// When time-outs may fire again, if they are deferred.
     pub fn timeouts_deferred_until(&self, now: Ms) -> Option<Ms> {
         self.grace_until.filter(|t| *t > now)
     }
@@ -42,22 +45,22 @@
     use super::*;
 
     #[test]
-    fn only_a_late_wake_holds_time_outs_back() {
-        let mut s = StallDetector::default();
-        s.expect_wakeup_at(1_000.0);
-        assert_eq!(s.record_wakeup(1_020.0), None);
-        assert_eq!(s.timeouts_deferred_until(1_020.0), None);
-        s.expect_wakeup_at(1_100.0);
-        assert_eq!(s.record_wakeup(3_100.0), Some(2_000.0));
-        assert_eq!(s.timeouts_deferred_until(3_100.0), Some(3_140.0));
-        assert_eq!(s.timeouts_deferred_until(3_140.0), None);
+    fn only_a_late_wakeup_defers_timeouts() {
+        let mut stall = StallDetector::default();
+        stall.expect_wakeup_at(1_000.0);
+        assert_eq!(stall.record_wakeup(1_020.0), None);
+        assert_eq!(stall.timeouts_deferred_until(1_020.0), None);
+        stall.expect_wakeup_at(1_100.0);
+        assert_eq!(stall.record_wakeup(3_100.0), Some(2_000.0));
+        assert_eq!(stall.timeouts_deferred_until(3_100.0), Some(3_140.0));
+        assert_eq!(stall.timeouts_deferred_until(3_140.0), None);
     }
 
     #[test]
-    fn a_wake_before_its_time_is_no_stall() {
-        let mut s = StallDetector::default();
-        assert_eq!(s.record_wakeup(5.0), None);
-        s.expect_wakeup_at(9_000.0);
-        assert_eq!(s.record_wakeup(40.0), None);
+    fn an_early_wakeup_is_no_stall() {
+        let mut stall = StallDetector::default();
+        assert_eq!(stall.record_wakeup(5.0), None);
+        stall.expect_wakeup_at(9_000.0);
+        assert_eq!(stall.record_wakeup(40.0), None);
     }
 }
--- a/crates/desk/src/timer_queue.rs
+++ b/crates/desk/src/timer_queue.rs
@@ -1,15 +1,14 @@
-//! What is due when: a heap, entries checked by their owner when they come up. One entry per SETUP, probe and
-//! connection under way; O(log n) to add and to take. Entries are not taken out early: an entry whose matter
-//! is settled comes up at its time and is passed over, so the heap holds at most what was started within the
-//! longest time-out.
+//! Timers in the order in which they are due: a heap with one entry per outstanding SETUP, probe and connection.
+//! Scheduling and popping take O(log n). Entries are not cancelled: an entry that has become obsolete comes up at its
+//! time, and its owner skips it. So the heap holds at most what was started within the longest time-out.
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use walnutline::ids::Ms;
 
 struct Entry<T> {
-    at: Ms,
-    order: u64,
-    what: T,
+    due_at: Ms,
+    sequence: u64,
+    item: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -27,44 +26,51 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The earliest is the greatest; of equal times the one set first.
+    /// The earliest entry is the greatest; of equal times the one that was scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
+        other.due_at.total_cmp(&self.due_at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
+/// Items that become due at their time; items of the same time come out in the order of scheduling.
 pub struct TimerQueue<T> {
     heap: BinaryHeap<Entry<T>>,
-    set: u64,
+    /// Number of entries scheduled so far.
+    scheduled: u64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        TimerQueue { heap: BinaryHeap::new(), set: 0 }
+        TimerQueue { heap: BinaryHeap::new(), scheduled: 0 }
     }
 }
 
 impl<T> TimerQueue<T> {
-    pub fn schedule(&mut self, at: Ms, what: T) {
-        self.set += 1;
-        self.heap.push(Entry { at, order: self.set, what });
+    /// Adds an item that is due at a time.
+    pub fn schedule(&mut self, due_at: Ms, item: T) {
+        self.scheduled += 1;
+        self.heap.push(Entry { due_at, sequence: self.scheduled, item });
     }
 
+    /// When the next item is due.
     pub fn next_due_at(&self) -> Option<Ms> {
-        self.heap.peek().map(|e| e.at)
+        self.heap.peek().map(|entry| entry.due_at)
     }
 
+    /// Removes and returns the next item if it is due.
     pub fn pop_due(&mut self, now: Ms) -> Option<T> {
         if self.next_due_at()? > now {
             return None;
         }
-        self.heap.pop().map(|e| e.what)
+        self.heap.pop().map(|entry| entry.item)
     }
 
+    /// Number of scheduled items.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
+    /// Whether nothing is scheduled.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
@@ -75,13 +81,13 @@
     use super::*;
 
     #[test]
-    fn due_by_time_then_by_order_of_setting() {
-        let mut t = TimerQueue::default();
-        for (at, what) in [(5.0, 'c'), (1.0, 'a'), (5.0, 'd'), (3.0, 'b')] {
-            t.schedule(at, what);
+    fn items_are_due_by_time_then_in_the_order_of_scheduling() {
+        let mut timers = TimerQueue::default();
+        for (due_at, item) in [(5.0, 'c'), (1.0, 'a'), (5.0, 'd'), (3.0, 'b')] {
+            timers.schedule(due_at, item);
         }
-        assert_eq!(t.pop_due(0.5), None);
-        let order: Vec<char> = std::iter::from_fn(|| t.pop_due(5.0)).collect();
+        assert_eq!(timers.pop_due(0.5), None);
+        let order: Vec<char> = std::iter::from_fn(|| timers.pop_due(5.0)).collect();
         assert_eq!(order, ['a', 'b', 'c', 'd']);
     }
 }
