--- a/crates/desk/src/connection.rs
+++ b/crates/desk/src/connection.rs
@@ -72,8 +72,8 @@
     pub state: ConnectionState,
     /// Delay before the next attempt to connect.
     pub backoff: Backoff,
-    /// When a message of the box was last received.
-    pub last_received_at: Ms,
+    /// Since when the box has been silent while it had requests to answer.
+    pub silent_since: Ms,
     /// Number of the latest connection.
     last_conn: u64,
     next_cseq: u32,
@@ -94,7 +94,7 @@
             server_state,
             state: ConnectionState::Idle { until: Ms::NEG_INFINITY },
             backoff: Backoff::default(),
-            last_received_at: Ms::NEG_INFINITY,
+            silent_since: Ms::NEG_INFINITY,
             last_conn: 0,
             next_cseq: 1,
             pending: BTreeMap::new(),
