--- a/crates/desk/tests/session_manager.rs
+++ b/crates/desk/tests/session_manager.rs
@@ -1,4 +1,5 @@
-//! The live desk against boxes, viewers and a list that do anything in any order: what holds whatever happens.
+//! The session manager with boxes, viewers and a server list whose events come in any order: the guarantees that hold
+//! for every order, and single cases.
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,11 +10,12 @@
 };
 use walnutline_desk::session_manager::*;
 
-const BOXES: u32 = 4;
-const WAITS: Timeouts = Timeouts { connect: 300.0, probe: 200.0, max_silence: 5_000.0, answer_margin: 50.0 };
-const PATIENCE: Ms = 2_000.0;
+const BOX_COUNT: u32 = 4;
+const TIMEOUTS: Timeouts =
+    Timeouts { connect: 300.0, probe: 200.0, max_silence: 5_000.0, answer_margin: 50.0 };
+const VIEWER_WAIT: Ms = 2_000.0;
 
-fn terms() -> PolicySettings {
+fn settings() -> PolicySettings {
     let group = |repeat| ServiceGroup {
         start_target: 800.0,
         utility: 1.0,
@@ -51,116 +53,120 @@
     }
 }
 
-fn line(id: u32, listing: ServerState) -> ServerEndpoint {
-    let listed = ListEntry {
+fn endpoint(id: u32, state: ServerState) -> ServerEndpoint {
+    let entry = ListEntry {
         id: ServerId(id),
         zone: ZoneIndex(0),
         kind: KindIndex(0),
         cell: CellId(id % 2),
-        state: listing,
+        state,
         weight: 1.0,
         started_at: None,
     };
-    ServerEndpoint { entry: listed, control_address: SocketAddr::from(([127, 0, 0, 1], 1_000 + id as u16)) }
+    ServerEndpoint { entry, control_address: SocketAddr::from(([127, 0, 0, 1], 1_000 + id as u16)) }
 }
 
-/// What may happen next. Boxes and messages are picked from what is there.
+/// An event. An index picks a request, connection or message among those that there are.
 #[derive(Debug, Clone)]
 enum Event {
-    Ask { group: u16, holders: u32 },
-    Leave(usize),
-    Open(usize),
-    Fail(usize),
-    Close { which: usize, begun: u32 },
-    Reply { which: usize, how: u8 },
-    Unasked { which: usize, cseq: u32 },
-    Over(usize),
-    List { id: u32, listing: u8 },
-    WholeList(u32),
-    Wait(Ms),
+    Request { group: u16, holders: u32 },
+    ViewerLeaves(usize),
+    ConnectionOpens(usize),
+    ConnectionFails(usize),
+    ConnectionCloses { index: usize, begun: u32 },
+    Response { index: usize, result: u8 },
+    UnknownResponse { index: usize, cseq: u32 },
+    SessionEnds(usize),
+    ServerChanges { id: u32, state: u8 },
+    ListReplaced(u32),
+    TimePasses(Ms),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
-    let n = any::<prop::sample::Index>().prop_map(|i| i.index(1_000));
+    let index = any::<prop::sample::Index>().prop_map(|i| i.index(1_000));
     let event = prop_oneof![
-        6 => (0u16..2, 1u32..16).prop_map(|(group, holders)| Event::Ask { group, holders }),
-        1 => n.clone().prop_map(Event::Leave),
-        4 => n.clone().prop_map(Event::Open),
-        1 => n.clone().prop_map(Event::Fail),
-        1 => (n.clone(), 0u32..6).prop_map(|(which, begun)| Event::Close { which, begun }),
-        8 => (n.clone(), 0u8..5).prop_map(|(which, how)| Event::Reply { which, how }),
-        1 => (n.clone(), any::<u32>()).prop_map(|(which, cseq)| Event::Unasked { which, cseq }),
-        1 => n.clone().prop_map(Event::Over),
-        1 => (0..BOXES, 0u8..3).prop_map(|(id, listing)| Event::List { id, listing }),
-        1 => (0u32..16).prop_map(Event::WholeList),
-        6 => (1.0..400.0f64).prop_map(Event::Wait),
+        6 => (0u16..2, 1u32..16).prop_map(|(group, holders)| Event::Request { group, holders }),
+        1 => index.clone().prop_map(Event::ViewerLeaves),
+        4 => index.clone().prop_map(Event::ConnectionOpens),
+        1 => index.clone().prop_map(Event::ConnectionFails),
+        1 => (index.clone(), 0u32..6).prop_map(|(index, begun)| Event::ConnectionCloses { index, begun }),
+        8 => (index.clone(), 0u8..5).prop_map(|(index, result)| Event::Response { index, result }),
+        1 => (index.clone(), any::<u32>()).prop_map(|(index, cseq)| Event::UnknownResponse { index, cseq }),
+        1 => index.clone().prop_map(Event::SessionEnds),
+        1 => (0..BOX_COUNT, 0u8..3).prop_map(|(id, state)| Event::ServerChanges { id, state }),
+        1 => (0u32..16).prop_map(Event::ListReplaced),
+        6 => (1.0..400.0f64).prop_map(Event::TimePasses),
     ];
     prop::collection::vec(event, 1..120)
 }
 
-/// The world outside, and what was seen of the desk's doing.
-struct World {
-    live: SessionManager<SessionId>,
+/// The environment of the session manager, and what was observed of it.
+struct Environment {
+    manager: SessionManager<SessionId>,
     now: Ms,
     next_id: u64,
-    /// Connections being opened, and open ones.
+    /// Connections that are being opened: server and number.
     opening: BTreeSet<(u32, u64)>,
     open: BTreeSet<(u32, u64)>,
-    /// Messages out by connection, with their session where they are SETUPs.
-    out: Vec<(u32, u64, u32, Option<SessionId>)>,
+    /// Unanswered messages: server, connection, sequence number, and the session of a SETUP.
+    unanswered: Vec<(u32, u64, u32, Option<SessionId>)>,
+    /// Sessions that play, by the boxes' names for them: server, connection and id.
     playing: BTreeMap<String, (u32, u64, SessionId)>,
-    asked: BTreeMap<SessionId, (Ms, BTreeSet<u32>, u16)>,
-    left: BTreeSet<SessionId>,
+    /// Requests: when they came, their holders and their service group.
+    requests: BTreeMap<SessionId, (Ms, BTreeSet<u32>, u16)>,
+    viewers_left: BTreeSet<SessionId>,
     answers: BTreeMap<SessionId, (Answer, Ms)>,
     setups: BTreeMap<SessionId, Vec<(u32, Ms)>>,
-    /// SETUPs that may have run, as far as the world knows: begun to be written and not surely refused.
+    /// Sessions with a SETUP that may have taken effect: it was sent, and nothing proves that it was refused.
     may_have_run: BTreeSet<SessionId>,
-    listing: BTreeMap<u32, ServerState>,
+    server_states: BTreeMap<u32, ServerState>,
 }
 
-impl World {
+impl Environment {
     fn new() -> Self {
-        let mut w = World {
-            live: SessionManager::new(terms(), WAITS, 3, 0.0),
+        let mut environment = Environment {
+            manager: SessionManager::new(settings(), TIMEOUTS, 3, 0.0),
             now: 0.0,
             next_id: 1,
             opening: BTreeSet::new(),
             open: BTreeSet::new(),
-            out: Vec::new(),
+            unanswered: Vec::new(),
             playing: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            left: BTreeSet::new(),
+            requests: BTreeMap::new(),
+            viewers_left: BTreeSet::new(),
             answers: BTreeMap::new(),
             setups: BTreeMap::new(),
             may_have_run: BTreeSet::new(),
-            listing: (0..BOXES).map(|id| (id, ServerState::Ready)).collect(),
+            server_states: (0..BOX_COUNT).map(|id| (id, ServerState::Ready)).collect(),
         };
-        w.live.replace_server_list((0..BOXES).map(|id| line(id, ServerState::Ready)).collect(), 0.0);
-        w.attend();
-        w
+        environment
+            .manager
+            .replace_server_list((0..BOX_COUNT).map(|id| endpoint(id, ServerState::Ready)).collect(), 0.0);
+        environment.process_due();
+        environment
     }
 
-    fn attend(&mut self) {
-        self.live.process_due(self.now);
-        for what in self.live.take_actions() {
-            self.see(what);
+    fn process_due(&mut self) {
+        self.manager.process_due(self.now);
+        for action in self.manager.take_actions() {
+            self.carry_out(action);
         }
     }
 
-    fn see(&mut self, what: IoAction<SessionId>) {
-        match what {
+    fn carry_out(&mut self, action: IoAction<SessionId>) {
+        match action {
             IoAction::Connect { server, conn, address } => {
                 assert_eq!(address.port(), 1_000 + server.0 as u16);
                 assert!(!self.open.iter().any(|(s, _)| *s == server.0), "a second connection to {server:?}");
                 self.opening.insert((server.0, conn));
             }
-            IoAction::Close { server, conn } => self.gone(server.0, conn),
-            IoAction::Send { server, conn, cseq, request: what } => {
+            IoAction::Close { server, conn } => self.connection_gone(server.0, conn),
+            IoAction::Send { server, conn, cseq, request } => {
                 assert!(self.open.contains(&(server.0, conn)), "sent on a connection that is not open");
-                let setup = match what {
-                    ServerRequest::Setup { id, context: of, .. } => {
-                        assert_eq!(id, *of);
-                        self.setup(id, server.0);
+                let setup = match request {
+                    ServerRequest::Setup { id, context, .. } => {
+                        assert_eq!(id, *context);
+                        self.check_setup(id, server.0);
                         Some(id)
                     }
                     ServerRequest::Teardown { session } => {
@@ -169,15 +175,15 @@
                     }
                     _ => None,
                 };
-                self.out.push((server.0, conn, cseq, setup));
+                self.unanswered.push((server.0, conn, cseq, setup));
             }
             IoAction::Answer { id, answer, .. } => {
-                assert!(!self.left.contains(&id), "an answer to one who left");
+                assert!(!self.viewers_left.contains(&id), "an answer to a viewer that left");
                 assert!(self.answers.insert(id, (answer, self.now)).is_none(), "answered twice: {id:?}");
-                if matches!(answer, Answer::Busy { .. }) && self.asked[&id].2 == 1 {
+                if matches!(answer, Answer::Busy { .. }) && self.requests[&id].2 == 1 {
                     assert!(
                         !self.may_have_run.contains(&id),
-                        "a busy reply though a paid SETUP may have run"
+                        "a busy reply though a SETUP that must not be repeated may have run"
                     );
                 }
             }
@@ -185,123 +191,130 @@
         }
     }
 
-    fn setup(&mut self, id: SessionId, server: u32) {
-        let (_, holders, group) = &self.asked[&id];
+    fn check_setup(&mut self, id: SessionId, server: u32) {
+        let (_, holders, group) = &self.requests[&id];
         assert!(holders.contains(&server), "sent to a box that the request did not name");
-        assert_eq!(self.listing[&server], ServerState::Ready, "sent to a box that is not ready");
-        assert!(!self.answers.contains_key(&id) && !self.left.contains(&id), "sent after the answer");
-        assert!(*group == 0 || !self.may_have_run.contains(&id), "a paid session set up twice");
-        let of = self.setups.entry(id).or_default();
-        of.push((server, self.now));
-        assert!(of.len() <= 3, "{} SETUPs", of.len());
+        assert_eq!(self.server_states[&server], ServerState::Ready, "sent to a box that is not ready");
+        assert!(!self.answers.contains_key(&id) && !self.viewers_left.contains(&id), "sent after the answer");
+        assert!(
+            *group == 0 || !self.may_have_run.contains(&id),
+            "a session that must not be repeated was set up twice"
+        );
+        let setups = self.setups.entry(id).or_default();
+        setups.push((server, self.now));
+        assert!(setups.len() <= 3, "{} SETUPs", setups.len());
         self.may_have_run.insert(id);
     }
 
-    /// A connection is gone, with all that was on it.
-    fn gone(&mut self, server: u32, conn: u64) {
+    /// Removes a connection with its messages and sessions.
+    fn connection_gone(&mut self, server: u32, conn: u64) {
         self.open.remove(&(server, conn));
         self.opening.remove(&(server, conn));
-        self.out.retain(|o| (o.0, o.1) != (server, conn));
-        self.playing.retain(|_, p| (p.0, p.1) != (server, conn));
+        self.unanswered.retain(|message| (message.0, message.1) != (server, conn));
+        self.playing.retain(|_, session| (session.0, session.1) != (server, conn));
     }
 
-    fn pick<T: Clone>(of: impl Iterator<Item = T>, n: usize) -> Option<T> {
-        let all: Vec<T> = of.collect();
-        (!all.is_empty()).then(|| all[n % all.len()].clone())
+    fn pick<T: Clone>(items: impl Iterator<Item = T>, index: usize) -> Option<T> {
+        let items: Vec<T> = items.collect();
+        (!items.is_empty()).then(|| items[index % items.len()].clone())
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
-            Event::Ask { group, holders } => {
+            Event::Request { group, holders } => {
                 let id = SessionId(self.next_id);
                 self.next_id += 1;
-                let named: BTreeSet<u32> = (0..BOXES).filter(|b| holders >> b & 1 == 1).collect();
-                self.asked.insert(id, (self.now, named.clone(), group));
-                let ask = SessionRequest {
+                let holder_ids: BTreeSet<u32> = (0..BOX_COUNT).filter(|b| holders >> b & 1 == 1).collect();
+                self.requests.insert(id, (self.now, holder_ids.clone(), group));
+                let request = SessionRequest {
                     group: GroupIndex(group),
                     title: TitleId(u64::from(holders)),
-                    holders: named.into_iter().map(ServerId).collect(),
+                    holders: holder_ids.into_iter().map(ServerId).collect(),
                     rates_kb_per_s: None,
                     highest_rung: 1,
-                    time_left: PATIENCE,
+                    time_left: VIEWER_WAIT,
                 };
-                self.live.add_request(id, ask, id, self.now);
+                self.manager.add_request(id, request, id, self.now);
             }
-            Event::Leave(n) => {
-                let waiting = self.asked.keys().filter(|id| !self.answers.contains_key(id)).copied();
-                if let Some(id) = Self::pick(waiting, n) {
-                    self.left.insert(id);
-                    self.live.viewer_left(id, self.now);
+            Event::ViewerLeaves(index) => {
+                let waiting = self.requests.keys().filter(|id| !self.answers.contains_key(id)).copied();
+                if let Some(id) = Self::pick(waiting, index) {
+                    self.viewers_left.insert(id);
+                    self.manager.viewer_left(id, self.now);
                 }
             }
-            Event::Open(n) => {
-                if let Some((server, conn)) = Self::pick(self.opening.iter().copied(), n) {
+            Event::ConnectionOpens(index) => {
+                if let Some((server, conn)) = Self::pick(self.opening.iter().copied(), index) {
                     self.opening.remove(&(server, conn));
-                    if self.live.connection_opened(ServerId(server), conn, self.now) {
+                    if self.manager.connection_opened(ServerId(server), conn, self.now) {
                         self.open.insert((server, conn));
                     }
                 }
             }
-            Event::Fail(n) => {
-                if let Some((server, conn)) = Self::pick(self.opening.iter().copied(), n) {
+            Event::ConnectionFails(index) => {
+                if let Some((server, conn)) = Self::pick(self.opening.iter().copied(), index) {
                     self.opening.remove(&(server, conn));
-                    self.live.connection_failed(ServerId(server), conn, self.now);
+                    self.manager.connection_failed(ServerId(server), conn, self.now);
                 }
             }
-            Event::Close { which, begun } => {
-                if let Some((server, conn)) = Self::pick(self.open.iter().copied(), which) {
-                    let never: Vec<SessionId> = self
-                        .out
+            Event::ConnectionCloses { index, begun } => {
+                if let Some((server, conn)) = Self::pick(self.open.iter().copied(), index) {
+                    let unsent: Vec<SessionId> = self
+                        .unanswered
                         .iter()
-                        .filter(|o| (o.0, o.1) == (server, conn) && o.2 > begun)
-                        .filter_map(|o| o.3)
+                        .filter(|message| (message.0, message.1) == (server, conn) && message.2 > begun)
+                        .filter_map(|message| message.3)
                         .collect();
-                    self.surely_not(&never);
-                    self.gone(server, conn);
-                    self.live.connection_closed(ServerId(server), conn, begun, self.now);
+                    self.setups_refused(&unsent);
+                    self.connection_gone(server, conn);
+                    self.manager.connection_closed(ServerId(server), conn, begun, self.now);
                 }
             }
-            Event::Reply { which, how } => {
-                let Some((server, conn, cseq, setup)) = Self::pick(self.out.iter().copied(), which) else {
+            Event::Response { index, result } => {
+                let Some((server, conn, cseq, setup)) = Self::pick(self.unanswered.iter().copied(), index)
+                else {
                     return;
                 };
-                self.out.retain(|o| (o.0, o.1, o.2) != (server, conn, cseq));
+                self.unanswered.retain(|message| (message.0, message.1, message.2) != (server, conn, cseq));
                 let session = format!("{server}-{conn}-{cseq}");
-                let outcome = match how {
+                let status = match result {
                     0 => ResponseStatus::Busy,
                     1 => ResponseStatus::Error,
                     _ => ResponseStatus::Success { session: setup.map(|_| session.clone()) },
                 };
-                match (&outcome, setup) {
+                match (&status, setup) {
                     (ResponseStatus::Success { .. }, Some(id)) => {
                         self.playing.insert(session, (server, conn, id));
                     }
-                    (ResponseStatus::Busy, Some(id)) => self.surely_not(&[id]),
+                    (ResponseStatus::Busy, Some(id)) => self.setups_refused(&[id]),
                     _ => {}
                 }
                 let report = LoadReport {
-                    streams: Some(f64::from(how)),
-                    link_use: Some(0.2 * f64::from(how)),
+                    streams: Some(f64::from(result)),
+                    link_use: Some(0.2 * f64::from(result)),
                     uplink_use: None,
                 };
-                let told = ServerMessage::Response { cseq, status: outcome, report };
-                self.live.message_received(ServerId(server), conn, told, self.now);
+                let message = ServerMessage::Response { cseq, status, report };
+                self.manager.message_received(ServerId(server), conn, message, self.now);
             }
-            Event::Unasked { which, cseq } => {
-                if let Some((server, conn)) = Self::pick(self.open.iter().copied(), which) {
-                    if self.out.iter().any(|o| (o.0, o.1, o.2) == (server, conn, cseq)) {
+            Event::UnknownResponse { index, cseq } => {
+                if let Some((server, conn)) = Self::pick(self.open.iter().copied(), index) {
+                    if self
+                        .unanswered
+                        .iter()
+                        .any(|message| (message.0, message.1, message.2) == (server, conn, cseq))
+                    {
                         return;
                     }
-                    let outcome = ResponseStatus::Success { session: Some("made up".into()) };
-                    let told =
-                        ServerMessage::Response { cseq, status: outcome, report: LoadReport::default() };
-                    self.live.message_received(ServerId(server), conn, told, self.now);
+                    let status = ResponseStatus::Success { session: Some("made up".into()) };
+                    let message = ServerMessage::Response { cseq, status, report: LoadReport::default() };
+                    self.manager.message_received(ServerId(server), conn, message, self.now);
                 }
             }
-            Event::Over(n) => {
-                if let Some(name) = Self::pick(self.playing.keys().cloned(), n) {
+            Event::SessionEnds(index) => {
+                if let Some(name) = Self::pick(self.playing.keys().cloned(), index) {
                     let (server, conn, _) = self.playing.remove(&name).unwrap();
-                    self.live.message_received(
+                    self.manager.message_received(
                         ServerId(server),
                         conn,
                         ServerMessage::SessionEnded { session: name },
@@ -309,48 +322,47 @@
                     );
                 }
             }
-            Event::List { id, listing } => {
-                let listing =
-                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][listing as usize];
-                self.listing.insert(id, listing);
-                self.live.update_servers(vec![line(id, listing)], self.now);
+            Event::ServerChanges { id, state } => {
+                let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][state as usize];
+                self.server_states.insert(id, state);
+                self.manager.update_servers(vec![endpoint(id, state)], self.now);
             }
-            Event::WholeList(mask) => {
-                let here: Vec<u32> = (0..BOXES).filter(|b| mask >> b & 1 == 1).collect();
-                for id in 0..BOXES {
-                    let listing = if here.contains(&id) { ServerState::Ready } else { ServerState::Gone };
-                    self.listing.insert(id, listing);
+            Event::ListReplaced(mask) => {
+                let listed: Vec<u32> = (0..BOX_COUNT).filter(|b| mask >> b & 1 == 1).collect();
+                for id in 0..BOX_COUNT {
+                    let state = if listed.contains(&id) { ServerState::Ready } else { ServerState::Gone };
+                    self.server_states.insert(id, state);
                 }
-                self.live.replace_server_list(
-                    here.into_iter().map(|id| line(id, ServerState::Ready)).collect(),
+                self.manager.replace_server_list(
+                    listed.into_iter().map(|id| endpoint(id, ServerState::Ready)).collect(),
                     self.now,
                 );
             }
-            Event::Wait(ms) => self.wait(ms),
+            Event::TimePasses(duration) => self.wait(duration),
         }
-        self.attend();
+        self.process_due();
     }
 
-    /// A SETUP of these surely never ran. One that ran earlier is not made undone by it; in this world the
-    /// paid ones have no earlier one that may have run, as the desk is held to that.
-    fn surely_not(&mut self, ids: &[SessionId]) {
+    /// The last SETUPs of these sessions certainly did not take effect. That does not undo an earlier SETUP; sessions of
+    /// group 1 have no earlier one that may have taken effect, which `check_setup` asserts.
+    fn setups_refused(&mut self, ids: &[SessionId]) {
         for id in ids {
-            if self.asked[id].2 == 1 {
+            if self.requests[id].2 == 1 {
                 self.may_have_run.remove(id);
             }
         }
     }
 
-    /// Time passes, the desk being called whenever it asked to be.
-    fn wait(&mut self, ms: Ms) {
-        let until = self.now + ms;
+    /// Lets time pass and calls the session manager whenever it asked for it.
+    fn wait(&mut self, duration: Ms) {
+        let until = self.now + duration;
         loop {
-            let next = self.live.next_call_at(self.now);
+            let next = self.manager.next_call_at(self.now);
             if next > until {
                 break;
             }
             self.now = next.max(self.now + 0.01);
-            self.attend();
+            self.process_due();
         }
         self.now = until;
     }
@@ -360,148 +372,161 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_happens_each_request_has_one_answer_in_time(events in events()) {
-        let mut w = World::new();
+    fn every_request_gets_one_answer_in_time(events in events()) {
+        let mut environment = Environment::new();
         for event in events {
-            w.happen(event);
+            environment.apply(event);
         }
-        w.wait(PATIENCE + 1.0);
-        w.attend();
-        for (id, (came, ..)) in &w.asked {
-            match w.answers.get(id) {
-                Some((_, at)) => prop_assert!(*at <= came + PATIENCE, "{id:?} answered after {}", at - came),
-                None => prop_assert!(w.left.contains(id), "{id:?} has no answer"),
+        environment.wait(VIEWER_WAIT + 1.0);
+        environment.process_due();
+        for (id, (arrived_at, ..)) in &environment.requests {
+            match environment.answers.get(id) {
+                Some((_, at)) => prop_assert!(*at <= arrived_at + VIEWER_WAIT, "{id:?} answered after {}", at - arrived_at),
+                None => prop_assert!(environment.viewers_left.contains(id), "{id:?} has no answer"),
             }
         }
-        prop_assert_eq!(w.live.unanswered_count(), 0);
-        // What plays at a box that the desk does not know of is torn down or was never its.
-        prop_assert_eq!(w.live.playing_count(), w.playing.len());
+        prop_assert_eq!(environment.manager.unanswered_count(), 0);
+        // Sessions that the session manager does not know of were torn down at their boxes.
+        prop_assert_eq!(environment.manager.playing_count(), environment.playing.len());
     }
 }
 
-fn ask(w: &mut World) -> SessionId {
-    let id = SessionId(w.next_id);
-    w.happen(Event::Ask { group: 0, holders: 15 });
+fn add_request(environment: &mut Environment) -> SessionId {
+    let id = SessionId(environment.next_id);
+    environment.apply(Event::Request { group: 0, holders: 15 });
     id
 }
 
-fn open_all(w: &mut World) {
-    while !w.opening.is_empty() {
-        w.happen(Event::Open(0));
+fn open_all(environment: &mut Environment) {
+    while !environment.opening.is_empty() {
+        environment.apply(Event::ConnectionOpens(0));
     }
 }
 
-/// Probes that a session waits for are answered, until its SETUP is out.
-fn until_setup(w: &mut World, id: SessionId) -> usize {
+/// Answers probes that a session waits for until its SETUP is sent; returns the position of the SETUP.
+fn answer_probes_until_setup(environment: &mut Environment, id: SessionId) -> usize {
     for _ in 0..10 {
-        if let Some(at) = w.out.iter().position(|o| o.3 == Some(id)) {
-            return at;
+        if let Some(position) = environment.unanswered.iter().position(|message| message.3 == Some(id)) {
+            return position;
         }
-        let probe = w.out.iter().position(|o| o.3.is_none()).expect("a probe is out");
-        w.happen(Event::Reply { which: probe, how: 2 });
-        w.wait(1.0);
+        let probe = environment
+            .unanswered
+            .iter()
+            .position(|message| message.3.is_none())
+            .expect("no probe is unanswered");
+        environment.apply(Event::Response { index: probe, result: 2 });
+        environment.wait(1.0);
     }
     panic!("no SETUP");
 }
 
 #[test]
-fn after_a_stall_what_stands_in_the_sockets_goes_before_time_outs() {
-    let mut w = World::new();
-    open_all(&mut w);
-    let id = ask(&mut w);
-    let at = until_setup(&mut w, id);
-    // Stopped for longer than the SETUP's time-out; the answer was there all along.
-    w.now += 900.0;
-    w.attend();
-    assert_eq!(w.setups[&id].len(), 1, "no time-out is counted on waking");
-    w.now += 5.0;
-    w.happen(Event::Reply { which: at, how: 2 });
-    assert!(matches!(w.answers[&id].0, Answer::Playing { .. }));
-    assert_eq!(w.live.playing_count(), 1);
+fn after_a_stall_received_answers_are_handled_before_timeouts() {
+    let mut environment = Environment::new();
+    open_all(&mut environment);
+    let id = add_request(&mut environment);
+    let position = answer_probes_until_setup(&mut environment, id);
+    // Suspended for longer than the SETUP's time-out, with the answer unread in the socket.
+    environment.now += 900.0;
+    environment.process_due();
+    assert_eq!(environment.setups[&id].len(), 1, "a time-out fired at the wake-up");
+    environment.now += 5.0;
+    environment.apply(Event::Response { index: position, result: 2 });
+    assert!(matches!(environment.answers[&id].0, Answer::Playing { .. }));
+    assert_eq!(environment.manager.playing_count(), 1);
 }
 
 #[test]
-fn a_box_that_says_nothing_after_a_stall_is_still_timed_out() {
-    let mut w = World::new();
-    open_all(&mut w);
-    let id = ask(&mut w);
-    until_setup(&mut w, id);
-    w.now += 900.0;
-    w.attend();
-    w.wait(100.0);
-    assert_eq!(w.setups[&id].len(), 2);
+fn a_box_that_stays_silent_after_a_stall_is_timed_out() {
+    let mut environment = Environment::new();
+    open_all(&mut environment);
+    let id = add_request(&mut environment);
+    answer_probes_until_setup(&mut environment, id);
+    environment.now += 900.0;
+    environment.process_due();
+    environment.wait(100.0);
+    assert_eq!(environment.setups[&id].len(), 2);
 }
 
 #[test]
-fn a_late_answer_is_torn_down_and_never_plays() {
-    let mut w = World::new();
-    open_all(&mut w);
-    let id = ask(&mut w);
+fn the_session_of_a_late_answer_is_torn_down_and_never_plays() {
+    let mut environment = Environment::new();
+    open_all(&mut environment);
+    let id = add_request(&mut environment);
     let (server, conn, cseq, _) = {
-        let at = until_setup(&mut w, id);
-        w.out[at]
+        let position = answer_probes_until_setup(&mut environment, id);
+        environment.unanswered[position]
     };
-    w.wait(700.0);
-    let late = w.out.iter().position(|o| (o.0, o.1, o.2) == (server, conn, cseq)).unwrap();
-    let playing = w.live.playing_count();
-    w.happen(Event::Reply { which: late, how: 2 });
-    assert_eq!(w.live.playing_count(), playing);
-    assert!(!w.playing.contains_key(&format!("{server}-{conn}-{cseq}")), "it was torn down");
+    environment.wait(700.0);
+    let late = environment
+        .unanswered
+        .iter()
+        .position(|message| (message.0, message.1, message.2) == (server, conn, cseq))
+        .unwrap();
+    let playing = environment.manager.playing_count();
+    environment.apply(Event::Response { index: late, result: 2 });
+    assert_eq!(environment.manager.playing_count(), playing);
+    assert!(!environment.playing.contains_key(&format!("{server}-{conn}-{cseq}")), "it was not torn down");
 }
 
 #[test]
-fn a_connection_that_is_silent_while_answers_are_owed_is_closed() {
-    let mut w = World::new();
-    open_all(&mut w);
-    let id = ask(&mut w);
-    until_setup(&mut w, id);
-    let open = w.open.len();
-    w.wait(3.0 * WAITS.max_silence);
-    assert!(w.open.len() < open, "still open: {:?}", w.open);
+fn a_silent_connection_with_unanswered_requests_is_closed() {
+    let mut environment = Environment::new();
+    open_all(&mut environment);
+    let id = add_request(&mut environment);
+    answer_probes_until_setup(&mut environment, id);
+    let open = environment.open.len();
+    environment.wait(3.0 * TIMEOUTS.max_silence);
+    assert!(environment.open.len() < open, "still open: {:?}", environment.open);
 }
 
 #[test]
-fn a_viewer_who_left_while_its_answer_was_on_the_way_has_its_session_torn_down() {
-    let mut w = World::new();
-    open_all(&mut w);
-    let id = ask(&mut w);
-    let at = until_setup(&mut w, id);
-    w.happen(Event::Reply { which: at, how: 2 });
-    assert_eq!((w.live.playing_count(), w.playing.len()), (1, 1));
-    w.live.viewer_left(id, w.now);
-    w.attend();
-    assert_eq!((w.live.playing_count(), w.playing.len()), (0, 0), "a TEARDOWN was sent");
+fn a_session_is_torn_down_when_its_viewer_leaves_before_the_answer_arrives() {
+    let mut environment = Environment::new();
+    open_all(&mut environment);
+    let id = add_request(&mut environment);
+    let position = answer_probes_until_setup(&mut environment, id);
+    environment.apply(Event::Response { index: position, result: 2 });
+    assert_eq!((environment.manager.playing_count(), environment.playing.len()), (1, 1));
+    environment.manager.viewer_left(id, environment.now);
+    environment.process_due();
+    assert_eq!(
+        (environment.manager.playing_count(), environment.playing.len()),
+        (0, 0),
+        "no TEARDOWN was sent"
+    );
 }
 
 #[test]
-fn a_box_that_comes_back_elsewhere_is_not_judged_for_the_old_one() {
-    let mut w = World::new();
-    open_all(&mut w);
-    let id = ask(&mut w);
-    let at = until_setup(&mut w, id);
-    let server = w.out[at].0;
-    w.happen(Event::Reply { which: at, how: 2 });
-    let old = line(server, ServerState::Ready);
-    let started = Some(w.now);
-    let new = ServerEndpoint {
-        entry: ListEntry { started_at: started, ..old.entry },
-        control_address: SocketAddr::from(([127, 0, 0, 2], old.control_address.port())),
+fn a_box_with_a_new_address_is_not_excluded_for_failures_at_the_old_one() {
+    let mut environment = Environment::new();
+    open_all(&mut environment);
+    let id = add_request(&mut environment);
+    let position = answer_probes_until_setup(&mut environment, id);
+    let server = environment.unanswered[position].0;
+    environment.apply(Event::Response { index: position, result: 2 });
+    let old_endpoint = endpoint(server, ServerState::Ready);
+    let started_at = Some(environment.now);
+    let new_endpoint = ServerEndpoint {
+        entry: ListEntry { started_at, ..old_endpoint.entry },
+        control_address: SocketAddr::from(([127, 0, 0, 2], old_endpoint.control_address.port())),
     };
-    w.live.update_servers(vec![new], w.now);
-    w.live.process_due(w.now);
-    let told: Vec<String> = w.live.take_actions().iter().map(|d| format!("{d:?}")).collect();
-    assert!(told.iter().any(|d| d.starts_with("Close")), "{told:?}");
-    assert_eq!(w.live.playing_count(), 0, "what played at the old one is over");
-    // The module probes a box that it has set aside. It must not have set the new process aside.
+    environment.manager.update_servers(vec![new_endpoint], environment.now);
+    environment.manager.process_due(environment.now);
+    let actions: Vec<String> =
+        environment.manager.take_actions().iter().map(|action| format!("{action:?}")).collect();
+    assert!(actions.iter().any(|action| action.starts_with("Close")), "{actions:?}");
+    assert_eq!(environment.manager.playing_count(), 0, "the session at the old address has not ended");
+    // The engine probes a box that it has excluded, so a probe would show that the new process is excluded.
     let (mut connected, mut probed) = (false, false);
     for step in 1..200 {
-        let now = w.now + 10.0 * f64::from(step);
-        w.live.process_due(now);
-        for what in w.live.take_actions() {
-            match what {
+        let now = environment.now + 10.0 * f64::from(step);
+        environment.manager.process_due(now);
+        for action in environment.manager.take_actions() {
+            match action {
                 IoAction::Connect { server: s, conn, address } if s.0 == server => {
                     assert_eq!(address.ip().to_string(), "127.0.0.2");
-                    connected = w.live.connection_opened(s, conn, now);
+                    connected = environment.manager.connection_opened(s, conn, now);
                 }
                 IoAction::Send { server: s, request: ServerRequest::Probe, .. } => probed |= s.0 == server,
                 _ => {}
