--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -18,20 +18,22 @@
         conn: ConnectionId,
         bytes: Vec<u8>,
     },
-    /// Send a SETUP if its viewer is still connected. [`crate::core::Node::offered_setup_connections`] returns the
-    /// connections of its viewer and its server, [`crate::core::Node::send_setup`] its bytes. If the server's
-    /// connection can't take it now, [`crate::core::Node::setup_blocked`] is to be called instead.
+    /// Send a SETUP if its viewer is still connected. [`crate::core::Node::offered_setup_connections`]
+    /// returns the connections of its viewer and its server, [`crate::core::Node::send_setup`] its bytes. If
+    /// the server's connection can't take it now, [`crate::core::Node::setup_blocked`] is to be called
+    /// instead.
     OfferSetup {
         id: SessionId,
         attempt: u32,
     },
-    /// Close a connection once what was written before is out. The core neither reports on it nor accepts input from
-    /// it any more.
+    /// Close a connection once what was written before is out. The core neither reports on it nor accepts
+    /// input from it any more.
     Close {
         conn: ConnectionId,
     },
-    /// Close a viewer's connection without open set-ups, unless data is on its way in either direction. The edge answers
-    /// with [`crate::core::Node::connection_closed`] or [`crate::core::Node::connection_in_use`].
+    /// Close a viewer's connection without open set-ups, unless data is on its way in either direction. The
+    /// edge answers with [`crate::core::Node::connection_closed`] or
+    /// [`crate::core::Node::connection_in_use`].
     CloseIfIdle {
         conn: ConnectionId,
     },
@@ -46,8 +48,8 @@
         bytes: Vec<u8>,
     },
     Log(String),
-    /// End the process once all input has been handled and all output is sent, or without waiting for either with
-    /// `at_once`.
+    /// End the process once all input has been handled and all output is sent, or without waiting for either
+    /// with `at_once`.
     Exit {
         at_once: bool,
     },
--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -1,152 +1,175 @@
-//! What is due with time: overdue, idle and silent peers, and the end of the node.
-use super::server_connections::Test;
-use super::{Due, Node, Stage};
+//! Timers: overdue, idle and silent peers, and the end of the node.
+use super::server_connections::OptionsPurpose;
+use super::{Node, Stage, TimerEvent};
 use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
 use walnutline::fleet::ServerState;
 use walnutline::ids::Ms;
 
 impl Node {
-    /// When [`Node::process_due`] is to be called next at the latest.
+    /// The latest time at which [`Node::process_due`] is to be called next.
     pub fn next_call_at(&self, now: Ms) -> Ms {
-        let held_back = self.stall.holds_back(now).unwrap_or(Ms::NEG_INFINITY);
-        self.timers.next_at().map_or(self.again_at, |t| t.max(held_back).min(self.again_at))
+        let deferred_until = self.stall.holds_back(now).unwrap_or(Ms::NEG_INFINITY);
+        self.timers
+            .next_at()
+            .map_or(self.desk_next_call_at, |t| t.max(deferred_until).min(self.desk_next_call_at))
     }
 
-    /// Does what is due; to be called after each round of events and whenever [`Node::next_call_at`] has come.
+    /// Handles the timers that are due. To be called after each round of events and at
+    /// [`Node::next_call_at`].
     pub fn process_due(&mut self, now: Ms) {
-        self.clock = now;
-        if let Some(late) = self.stall.woke(now) {
-            self.dos.push(IoAction::Log(format!("stalled for={late:.0}")));
+        self.last_call_at = now;
+        if let Some(late_ms) = self.stall.woke(now) {
+            self.io_actions.push(IoAction::Log(format!("stalled for={late_ms:.0}")));
         }
         if self.stall.holds_back(now).is_none() {
-            while let Some(due) = self.timers.due(now) {
-                self.fire(due, now);
-                self.settle(now);
+            while let Some(event) = self.timers.due(now) {
+                self.handle_timer(event, now);
+                self.process_desk_actions(now);
             }
         }
         self.desk.rang(now);
-        // A session that is placed and held again waits for a probe or a time that only a further call tells.
-        if self.desk.attend(now, &mut self.actions) {
-            self.settle(now);
-            self.desk.attend(now, &mut self.actions);
+        // A waiting session that has been placed may have to wait once more: only a second call returns the
+        // probe or the time that it then waits for.
+        if self.desk.attend(now, &mut self.desk_actions) {
+            self.process_desk_actions(now);
+            self.desk.attend(now, &mut self.desk_actions);
         }
-        self.settle(now);
+        self.process_desk_actions(now);
         self.stall.sleeps_until(self.next_call_at(now));
     }
 
-    fn fire(&mut self, due: Due, now: Ms) {
-        match due {
-            Due::Setup { id, no } => self.setup_due(id, no, now),
-            Due::Connecting { conn } => {
-                if self.lines.get(&conn).is_some_and(|l| !l.up) {
-                    self.close_line(conn, now);
+    fn handle_timer(&mut self, event: TimerEvent, now: Ms) {
+        match event {
+            TimerEvent::SetupTimeout { id, attempt } => self.setup_timed_out(id, attempt, now),
+            TimerEvent::ConnectTimeout { conn } => {
+                if self.server_connections.get(&conn).is_some_and(|c| !c.up) {
+                    self.close_server_connection(conn, now);
                 }
             }
-            Due::Test { conn, id } => self.test_due(conn, id, now),
-            Due::Reconnect { server } => {
-                if self.servers.get(&server).is_some_and(|s| s.is_needed()) {
-                    self.keep_up(server, now);
+            TimerEvent::OptionsTimeout { conn, id } => self.options_timed_out(conn, id, now),
+            TimerEvent::Reconnect { server } => {
+                if self.servers.get(&server).is_some_and(|s| s.needs_connection()) {
+                    self.ensure_connection(server, now);
                 }
             }
-            Due::End => {
-                self.end_if_due(now);
-                self.timers.set(now + limits::SHUTDOWN_CHECK_INTERVAL, Due::End);
+            TimerEvent::ShutdownCheck => {
+                self.exit_if_done(now);
+                self.timers.set(now + limits::SHUTDOWN_CHECK_INTERVAL, TimerEvent::ShutdownCheck);
             }
-            Due::Sweep => {
+            TimerEvent::Sweep => {
                 self.sweep_viewers(now);
                 self.sweep_servers(now);
-                self.forget();
+                self.remove_unused_servers();
                 if now - self.desk.front.started_at > limits::EARLY_MESSAGE_PERIOD {
                     self.early_rungs.clear();
                     self.early_ends.clear();
                 }
-                self.owed.retain(|o| now - o.since < limits::RELEASE_RETENTION);
-                self.timers.set(now + limits::SWEEP_INTERVAL, Due::Sweep);
+                self.pending_releases.retain(|r| now - r.created_at < limits::RELEASE_RETENTION);
+                self.timers.set(now + limits::SWEEP_INTERVAL, TimerEvent::Sweep);
             }
         }
     }
 
+    /// Closes viewers' connections that are overdue or idle.
     fn sweep_viewers(&mut self, now: Ms) {
         let overdue = self.viewers.iter().filter(|(_, v)| {
-            let silent = !v.spoke && now - v.since >= limits::VIEWER_FIRST_MESSAGE_TIMEOUT;
-            let overdue = v.partial.map(|t| now - t >= limits::VIEWER_MESSAGE_TIMEOUT);
-            // One that never brought a good set-up has had its answers. A viewer's own is left to it to close, as long as
-            // there is room: a set-up that crosses the close may be read here by nobody, and its answer is owed.
-            let keep = if v.good { Ms::INFINITY } else { limits::VIEWER_FIRST_MESSAGE_TIMEOUT };
-            // One that has begun to ask is heard to the end of it.
-            v.open.is_empty() && overdue.unwrap_or(silent || now - v.used >= keep)
+            let silent = !v.has_sent_message && now - v.accepted_at >= limits::VIEWER_FIRST_MESSAGE_TIMEOUT;
+            let message_overdue = v.partial_since.map(|t| now - t >= limits::VIEWER_MESSAGE_TIMEOUT);
+            // A connection that never brought a valid set-up needs no more answers. One that did is left to
+            // its viewer to close while there is room: a set-up that crosses the close would go unread, and
+            // has to be answered.
+            let idle_timeout =
+                if v.has_sent_setup { Ms::INFINITY } else { limits::VIEWER_FIRST_MESSAGE_TIMEOUT };
+            // A message that has begun has its own time-out in place of the idle ones.
+            v.open_setups.is_empty()
+                && message_overdue.unwrap_or(silent || now - v.last_used_at >= idle_timeout)
         });
         let overdue: Vec<ConnectionId> = overdue.map(|(conn, _)| *conn).collect();
-        overdue.into_iter().for_each(|conn| self.dos.push(IoAction::CloseIfIdle { conn }));
-        if self.viewers.len() > self.most_viewers {
-            self.retire_one(now);
+        overdue.into_iter().for_each(|conn| self.io_actions.push(IoAction::CloseIfIdle { conn }));
+        if self.viewers.len() > self.max_viewers {
+            self.close_least_used_viewer(now);
         }
     }
 
+    /// Closes servers' connections that are overdue or idle, opens those that are missing, and pings silent
+    /// servers.
     fn sweep_servers(&mut self, now: Ms) {
-        let partial = |t: Option<Ms>| t.is_some_and(|t| now - t >= limits::SERVER_MESSAGE_TIMEOUT);
-        let overdue = self.lines.iter().filter(|(_, l)| l.up && partial(l.partial));
+        let is_overdue = |since: Option<Ms>| since.is_some_and(|t| now - t >= limits::SERVER_MESSAGE_TIMEOUT);
+        let overdue = self.server_connections.iter().filter(|(_, c)| c.up && is_overdue(c.partial_since));
         let overdue: Vec<ConnectionId> = overdue.map(|(conn, _)| *conn).collect();
-        overdue.into_iter().for_each(|conn| self.close_line(conn, now));
+        overdue.into_iter().for_each(|conn| self.close_server_connection(conn, now));
         let mut close = Vec::new();
-        let mut test = Vec::new();
-        let mut again = Vec::new();
+        let mut ping = Vec::new();
+        let mut reconnect = Vec::new();
         for (id, s) in &self.servers {
-            // What ended there is told on the next connection opened, and owed to a viewer in time.
-            if s.lines.is_empty() && s.is_needed() && now - s.parted >= limits::MAX_TIME_WITHOUT_CONNECTION {
-                again.push(*id);
+            // A server reports the ends of sessions on the next connection that is opened, and viewers have
+            // to be told of them in time.
+            if s.connections.is_empty()
+                && s.needs_connection()
+                && now - s.closed_for_room_at >= limits::MAX_TIME_WITHOUT_CONNECTION
+            {
+                reconnect.push(*id);
             }
-            let used = s.is_needed();
-            let up: Vec<ConnectionId> =
-                s.lines.iter().copied().filter(|c| self.lines.get(c).is_some_and(|l| l.up)).collect();
+            let in_use = s.needs_connection();
+            let up: Vec<ConnectionId> = s
+                .connections
+                .iter()
+                .copied()
+                .filter(|conn| self.server_connections.get(conn).is_some_and(|c| c.up))
+                .collect();
             for (n, conn) in up.iter().enumerate() {
-                let line = &self.lines[conn];
-                let busy = !line.out.is_empty() || !line.tests.is_empty();
-                let keep = match n {
+                let connection = &self.server_connections[conn];
+                let busy = !connection.pending_setups.is_empty() || !connection.pending_options.is_empty();
+                let idle_timeout = match n {
                     // A release that crosses the close would be lost.
-                    _ if used => Ms::INFINITY,
-                    0 if s.listing == ServerState::Gone => 0.0,
-                    0 => self.told.idle_timeout_ms * limits::IDLE_TIMEOUT_SHARE,
+                    _ if in_use => Ms::INFINITY,
+                    0 if s.list_state == ServerState::Gone => 0.0,
+                    0 => self.configuration.idle_timeout_ms * limits::IDLE_TIMEOUT_SHARE,
                     _ => limits::EXTRA_CONNECTION_IDLE_TIMEOUT,
                 };
-                if !busy && now - line.used >= keep {
+                if !busy && now - connection.last_used_at >= idle_timeout {
                     close.push(*conn);
                 }
             }
-            if let (true, Some(conn)) = (used && now - s.heard >= limits::PING_AFTER_SILENCE, up.first()) {
-                if self.lines[conn].tests.values().all(|t| *t != Test::There) {
-                    test.push(*conn);
+            if let (true, Some(conn)) =
+                (in_use && now - s.last_seen_at >= limits::PING_AFTER_SILENCE, up.first())
+            {
+                if self.server_connections[conn].pending_options.values().all(|p| *p != OptionsPurpose::Ping)
+                {
+                    ping.push(*conn);
                 }
             }
         }
-        again.into_iter().for_each(|id| self.keep_up(id, now));
-        test.into_iter().for_each(|conn| self.test(conn, Test::There, now));
-        close.into_iter().for_each(|conn| self.close_line(conn, now));
+        reconnect.into_iter().for_each(|id| self.ensure_connection(id, now));
+        ping.into_iter().for_each(|conn| self.send_options(conn, OptionsPurpose::Ping, now));
+        close.into_iter().for_each(|conn| self.close_server_connection(conn, now));
     }
 
-    /// The node was told to stop at that time: it takes and answers what still comes, and ends once nothing
-    /// is owed.
-    pub fn stop(&mut self, at: Ms) {
-        if self.stopping.is_none() {
-            self.stopping = Some(at);
-            self.timers.set(at + limits::SHUTDOWN_REQUEST_PERIOD, Due::End);
-            self.dos.push(IoAction::Log(format!("stopping sessions={}", self.sess.len())));
+    /// Begins to stop the node, which was requested at `requested_at`: it goes on taking and answering
+    /// requests, and ends once no work is left.
+    pub fn stop(&mut self, requested_at: Ms) {
+        if self.stop_requested_at.is_none() {
+            self.stop_requested_at = Some(requested_at);
+            self.timers.set(requested_at + limits::SHUTDOWN_REQUEST_PERIOD, TimerEvent::ShutdownCheck);
+            self.io_actions.push(IoAction::Log(format!("stopping sessions={}", self.sessions.len())));
         }
     }
 
-    fn end_if_due(&mut self, now: Ms) {
-        let Some(told) = self.stopping else { return };
-        let asked = self.sess.values().any(|s| matches!(s.stage, Stage::Asked { .. }));
-        // A request of which a part is there is about to be taken.
-        let begun = self.viewers.values().any(|v| v.partial.is_some());
-        let last =
-            limits::SHUTDOWN_SESSION_GRACE + self.told.max_viewer_wait_ms.min(limits::MAX_SHUTDOWN_WAIT);
-        let empty = self.sess.is_empty() && self.owed.is_empty() && !begun;
-        let done = empty && now - told >= limits::SHUTDOWN_REQUEST_PERIOD;
-        if !asked && (done || now - told >= last) {
-            // Close to the kill, what would be waited for is lost either way.
-            self.dos.push(IoAction::Exit { at_once: now - told >= last + limits::SHUTDOWN_FLUSH_TIMEOUT });
+    fn exit_if_done(&mut self, now: Ms) {
+        let Some(requested_at) = self.stop_requested_at else { return };
+        let any_pending = self.sessions.values().any(|s| matches!(s.stage, Stage::Pending { .. }));
+        // A request that has begun to arrive is about to be taken.
+        let any_partial = self.viewers.values().any(|v| v.partial_since.is_some());
+        let session_time = limits::SHUTDOWN_SESSION_GRACE
+            + self.configuration.max_viewer_wait_ms.min(limits::MAX_SHUTDOWN_WAIT);
+        let empty = self.sessions.is_empty() && self.pending_releases.is_empty() && !any_partial;
+        let done = empty && now - requested_at >= limits::SHUTDOWN_REQUEST_PERIOD;
+        if !any_pending && (done || now - requested_at >= session_time) {
+            // Close to the kill, waiting would lose the remaining input and output as well.
+            self.io_actions.push(IoAction::Exit {
+                at_once: now - requested_at >= session_time + limits::SHUTDOWN_FLUSH_TIMEOUT,
+            });
         }
     }
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,14 +1,16 @@
-//! One owner of all sessions, connections and time-outs of a node. It is told the time and what came in, and says
-//! what to do next and when to call again. Every decision is asked of the module through the desk.
+//! Owns all sessions, connections and time-outs of a node, without I/O: it is given events with their times,
+//! and returns the actions to take and the time of the next call. Every decision on a session is made by the
+//! desk.
 //!
-//! - [`viewer_connections`]: what viewers send and are owed.
-//! - [`server_connections`]: connections to servers, and what each end of one proves.
-//! - [`server_messages`]: what servers say.
-//! - [`server_list`]: the list of servers, followed by questions to the name service.
-//! - [`peers`]: what front nodes tell each other.
-//! - [`maintenance`]: what is due with time: silent, idle and overdue peers, and the end of the node.
+//! - [`viewer_connections`]: viewers' messages and the answers to them.
+//! - [`server_connections`]: connections to servers, and what the end of one implies.
+//! - [`server_messages`]: servers' messages.
+//! - [`server_list`]: the list of servers, kept up to date by queries to the name service.
+//! - [`peers`]: load reports between front nodes.
+//! - [`maintenance`]: timers: overdue, idle and silent peers, and the end of the node.
 //!
-//! State grows with what is open now: sessions in hand, connections, servers listed or still in use.
+//! State is bounded by what is in use now: open sessions, connections, and servers that are listed or still
+//! in use.
 mod maintenance;
 mod peers;
 mod server_connections;
@@ -18,8 +20,8 @@
 
 use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
-use server_connections::{Line, Server};
-use server_list::Names;
+use server_connections::{Server, ServerConnection};
+use server_list::NameService;
 use std::collections::{BTreeMap, VecDeque};
 use viewer_connections::Viewer;
 use walnutline::api::SetupOutcome;
@@ -31,233 +33,241 @@
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::viewer::{self, SetupRequest};
 
-/// A SETUP that is out, or waits for a connection that is being opened.
+/// A SETUP that was sent and not answered, or that waits for its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Out {
+struct PendingSetup {
     server: ServerId,
-    line: ConnectionId,
-    /// Tells it from other SETUPs of the same session.
-    no: u32,
-    written: bool,
+    conn: ConnectionId,
+    /// Distinguishes the SETUPs of one session.
+    attempt: u32,
+    sent: bool,
 }
 
 enum Stage {
-    /// Its answer is owed to this connection.
-    Asked { from: ConnectionId, wanted: Box<SetupRequest>, out: Option<Out> },
-    /// It plays; the connection that its set-up came by, as long as that is open, and since when it is known to stand.
-    Stands { from: Option<ConnectionId>, server: ServerId, since: Ms },
+    /// The viewer's request is not answered yet; the answer goes to `viewer_conn`.
+    Pending { viewer_conn: ConnectionId, request: Box<SetupRequest>, setup: Option<PendingSetup> },
+    /// The session plays. `viewer_conn` is the connection that brought its set-up, which may have closed
+    /// since, and `since` the time from which it is known to play.
+    Playing { viewer_conn: Option<ConnectionId>, server: ServerId, since: Ms },
 }
 
 struct Session {
     stage: Stage,
-    setups: u32,
-    /// Until when the SETUP that is out is waited for.
-    until: Ms,
+    setup_count: u32,
+    /// When the pending SETUP times out.
+    setup_deadline: Ms,
 }
 
-/// What became of the requests that this process has taken.
+/// Counts of the requests that this process has taken.
 #[derive(Default)]
-struct Ledger {
+struct RequestCounts {
     taken: u64,
     answered: u64,
-    /// By their viewers, who closed or cancelled.
+    /// Cancelled by their viewers, or closed with their connections.
     given_up: u64,
 }
 
-/// A release that found no viewer's connection.
-struct Owed {
+/// A release to be confirmed by a viewer, or waiting for a viewer's connection.
+struct PendingRelease {
     id: u64,
     cause: u32,
-    since: Ms,
+    created_at: Ms,
 }
 
 #[derive(Debug)]
-enum Due {
-    Setup { id: SessionId, no: u32 },
-    Connecting { conn: ConnectionId },
-    Test { conn: ConnectionId, id: u64 },
+enum TimerEvent {
+    SetupTimeout { id: SessionId, attempt: u32 },
+    ConnectTimeout { conn: ConnectionId },
+    OptionsTimeout { conn: ConnectionId, id: u64 },
     Reconnect { server: ServerId },
-    End,
+    ShutdownCheck,
     Sweep,
 }
 
+/// The core of a front node.
 pub struct Node {
     pub desk: Desk,
-    /// Names of the settings by their positions, and the waits that the settings state.
-    told: Configuration,
-    /// Zones that the settings name; further ones come with the list.
-    zones_told: usize,
-    sess: BTreeMap<SessionId, Session>,
+    /// The configuration in force. Further zones of the list are added to those that it names.
+    configuration: Configuration,
+    configured_zone_count: usize,
+    sessions: BTreeMap<SessionId, Session>,
     viewers: BTreeMap<ConnectionId, Viewer>,
-    most_viewers: usize,
-    most_lines: usize,
-    /// The viewer's connection that last brought a set-up that could be taken.
-    last_good: Option<ConnectionId>,
+    max_viewers: usize,
+    max_server_connections: usize,
+    /// The viewer's connection that last brought a valid set-up.
+    last_setup_conn: Option<ConnectionId>,
     servers: BTreeMap<ServerId, Server>,
-    by_name: BTreeMap<String, ServerId>,
-    lines: BTreeMap<ConnectionId, Line>,
-    owed: VecDeque<Owed>,
-    /// What servers told of sessions before these were handed over, their rungs or their ends: the two come
-    /// by different ways.
+    servers_by_name: BTreeMap<String, ServerId>,
+    server_connections: BTreeMap<ConnectionId, ServerConnection>,
+    /// Releases that found no viewer's connection.
+    pending_releases: VecDeque<PendingRelease>,
+    /// Rungs and ends reported by servers for sessions that have not been handed over yet: reports and
+    /// hand-overs come by different connections.
     early_rungs: BTreeMap<SessionId, u8>,
     early_ends: BTreeMap<SessionId, (ServerId, Option<u32>)>,
-    names: Names,
-    timers: Timers<Due>,
+    name_service: NameService,
+    timers: Timers<TimerEvent>,
     stall: Stall,
     rng: fastrand::Rng,
-    next_server: u32,
-    next_conn: u64,
-    stopping: Option<Ms>,
-    ledger: Ledger,
-    actions: Vec<Action>,
-    dos: Vec<IoAction>,
-    again_at: Ms,
+    last_server_id: u32,
+    last_connection_id: u64,
+    stop_requested_at: Option<Ms>,
+    request_counts: RequestCounts,
+    desk_actions: Vec<Action>,
+    io_actions: Vec<IoAction>,
+    desk_next_call_at: Ms,
     /// The time of the last call.
-    clock: Ms,
+    last_call_at: Ms,
 }
 
 impl Node {
-    /// A node with the list that its configuration holds; connections to those servers are opened at once.
-    pub fn new(told: Configuration, now: Ms) -> Result<Node, String> {
-        let mut terms = PolicySettings::parse(&told.settings_text).map_err(|e| format!("settings: {e}"))?;
-        // Changes come here with the answers to questions only, whatever the settings say of a list.
-        terms.list_delivery = ListDelivery::Polled { grace: terms.drain_grace };
-        // Each node sends its share: as many as either tells.
-        terms.front_count =
-            terms.front_count.max(u32::try_from(told.peer_addresses.len()).unwrap_or(u32::MAX));
-        terms.peer_messages_allowed &=
-            told.peer_broadcast_address.is_some() && told.peer_listen_address.is_some();
-        let servers = told.servers.clone();
-        let most_viewers = limits::max_viewer_connections(told.max_sockets, servers.len());
+    /// Creates a node with the list of servers in its configuration.
+    pub fn new(configuration: Configuration, now: Ms) -> Result<Node, String> {
+        let mut settings =
+            PolicySettings::parse(&configuration.settings_text).map_err(|e| format!("settings: {e}"))?;
+        // On this platform the list is always polled, whatever the settings say.
+        settings.list_delivery = ListDelivery::Polled { grace: settings.drain_grace };
+        // The number of front nodes is the larger of the two that are stated: each sends its share of the
+        // load.
+        settings.front_count =
+            settings.front_count.max(u32::try_from(configuration.peer_addresses.len()).unwrap_or(u32::MAX));
+        settings.peer_messages_allowed &=
+            configuration.peer_broadcast_address.is_some() && configuration.peer_listen_address.is_some();
+        let servers = configuration.servers.clone();
+        let max_viewers = limits::max_viewer_connections(configuration.max_sockets, servers.len());
         let mut node = Node {
-            desk: Desk::new(terms, told.seed, now),
-            zones_told: told.zones.len(),
-            sess: BTreeMap::new(),
+            desk: Desk::new(settings, configuration.seed, now),
+            configured_zone_count: configuration.zones.len(),
+            sessions: BTreeMap::new(),
             viewers: BTreeMap::new(),
-            most_viewers,
-            most_lines: limits::max_server_connections(told.max_sockets, most_viewers),
-            last_good: None,
+            max_viewers,
+            max_server_connections: limits::max_server_connections(configuration.max_sockets, max_viewers),
+            last_setup_conn: None,
             servers: BTreeMap::new(),
-            by_name: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            owed: VecDeque::new(),
+            servers_by_name: BTreeMap::new(),
+            server_connections: BTreeMap::new(),
+            pending_releases: VecDeque::new(),
             early_rungs: BTreeMap::new(),
             early_ends: BTreeMap::new(),
-            names: Names::new(told.name_service, told.server_list_serial),
+            name_service: NameService::new(configuration.name_service, configuration.server_list_serial),
             timers: Timers::default(),
             stall: Stall::default(),
-            rng: fastrand::Rng::with_seed(told.seed ^ 0x6e6f_6465),
-            next_server: 0,
-            next_conn: 0,
-            stopping: None,
-            ledger: Ledger::default(),
-            actions: Vec::new(),
-            dos: Vec::new(),
-            again_at: now,
-            clock: now,
-            told,
+            rng: fastrand::Rng::with_seed(configuration.seed ^ 0x6e6f_6465),
+            last_server_id: 0,
+            last_connection_id: 0,
+            stop_requested_at: None,
+            request_counts: RequestCounts::default(),
+            desk_actions: Vec::new(),
+            io_actions: Vec::new(),
+            desk_next_call_at: now,
+            last_call_at: now,
+            configuration,
         };
-        node.listed(servers, now);
-        node.timers.set(now + limits::SWEEP_INTERVAL, Due::Sweep);
+        node.replace_server_list(servers, now);
+        node.timers.set(now + limits::SWEEP_INTERVAL, TimerEvent::Sweep);
         Ok(node)
     }
 
-    /// A number for a connection that comes in.
+    /// Returns a new id, for an accepted connection.
     pub fn new_connection_id(&mut self) -> ConnectionId {
-        self.next_conn += 1;
-        ConnectionId(self.next_conn)
+        self.last_connection_id += 1;
+        ConnectionId(self.last_connection_id)
     }
 
+    /// Removes and returns the actions that the edge has to take, oldest first.
     pub fn take_actions(&mut self) -> Vec<IoAction> {
-        std::mem::take(&mut self.dos)
+        std::mem::take(&mut self.io_actions)
     }
 
-    /// What became of the requests taken so far: those answered, given up and open add up to them.
+    /// Counts of the requests taken so far, for the log: those answered, given up and open add up to those
+    /// taken.
     pub fn request_counts(&self) -> String {
-        let Ledger { taken, answered, given_up } = self.ledger;
-        let open = self.sess.values().filter(|s| matches!(s.stage, Stage::Asked { .. })).count();
+        let RequestCounts { taken, answered, given_up } = self.request_counts;
+        let open = self.sessions.values().filter(|s| matches!(s.stage, Stage::Pending { .. })).count();
         format!("taken={taken} answered={answered} given_up={given_up} open={open}")
     }
 
-    /// How many viewers' connections are held at most.
+    /// The largest number of viewers' connections held at once.
     pub fn max_viewer_connections(&self) -> usize {
-        self.most_viewers
+        self.max_viewers
     }
 
-    /// Bytes that came in on a connection at that time.
-    pub fn bytes_received(&mut self, conn: ConnectionId, bytes: &[u8], at: Ms, now: Ms) {
+    /// Handles bytes from a connection, received at `received_at`.
+    pub fn bytes_received(&mut self, conn: ConnectionId, bytes: &[u8], received_at: Ms, now: Ms) {
         if self.viewers.contains_key(&conn) {
-            self.viewer_bytes(conn, bytes, at, now);
-        } else if self.lines.contains_key(&conn) {
-            self.server_bytes(conn, bytes, now);
+            self.viewer_bytes_received(conn, bytes, received_at, now);
+        } else if self.server_connections.contains_key(&conn) {
+            self.server_bytes_received(conn, bytes, now);
         }
-        self.settle(now);
+        self.process_desk_actions(now);
     }
 
-    /// A connection is over, or never came up.
+    /// Handles the end of a connection, or that it could not be opened.
     pub fn connection_closed(&mut self, conn: ConnectionId, end: crate::actions::ConnectionEnd, now: Ms) {
         if self.viewers.contains_key(&conn) {
-            self.viewer_closed(conn, now);
-        } else if self.lines.contains_key(&conn) {
-            self.line_closed(conn, end, now);
+            self.viewer_connection_closed(conn, now);
+        } else if self.server_connections.contains_key(&conn) {
+            self.server_connection_closed(conn, end, now);
         }
-        self.settle(now);
+        self.process_desk_actions(now);
     }
 
-    /// Acts on what the module answered. An outcome that is known at once leads to the next answer.
-    fn settle(&mut self, now: Ms) {
-        self.clock = now;
+    /// Carries out the desk's actions. One whose outcome is known at once can add further actions.
+    fn process_desk_actions(&mut self, now: Ms) {
+        self.last_call_at = now;
         let mut next = 0;
-        while next < self.actions.len() {
-            let action = self.actions[next].clone();
+        while next < self.desk_actions.len() {
+            let action = self.desk_actions[next].clone();
             next += 1;
             match action {
-                Action::Setup { id, server, timeout, .. } => self.setup(id, server, timeout, now),
-                Action::Rung { id, rung } => self.rung(id, rung),
+                Action::Setup { id, server, timeout, .. } => self.start_setup(id, server, timeout, now),
+                Action::Rung { id, rung } => self.set_rung(id, rung),
                 Action::Probe { server } => self.probe(server, now),
-                Action::AskList => self.ask_list(),
+                Action::AskList => self.request_list(),
                 Action::BusyReply { id, come_back } => {
-                    self.answer(id, viewer::busy_response(id.0, come_back))
+                    self.send_final_answer(id, viewer::busy_response(id.0, come_back))
                 }
-                Action::TornDown { id } => self.answer(id, viewer::setup_failed_response(id.0)),
-                Action::Tell(news) => self.tell(&news, now),
-                Action::Log(line) => self.dos.push(IoAction::Log(line)),
-                Action::AgainAt(at) => self.again_at = at,
+                Action::TornDown { id } => self.send_final_answer(id, viewer::setup_failed_response(id.0)),
+                Action::Tell(reports) => self.send_peer_reports(&reports, now),
+                Action::Log(line) => self.io_actions.push(IoAction::Log(line)),
+                Action::AgainAt(at) => self.desk_next_call_at = at,
             }
         }
-        self.actions.clear();
+        self.desk_actions.clear();
     }
 
-    /// The final answer of a session that does not play.
-    fn answer(&mut self, id: SessionId, bytes: Vec<u8>) {
-        if let Some(Session { stage: Stage::Asked { from, .. }, .. }) = self.sess.remove(&id) {
-            self.ledger.answered += 1;
-            if let Some(v) = self.viewers.get_mut(&from) {
-                v.open.remove(&id);
-                self.dos.push(IoAction::Write { conn: from, bytes });
+    /// Answers the request of a session that does not come to play.
+    fn send_final_answer(&mut self, id: SessionId, bytes: Vec<u8>) {
+        if let Some(Session { stage: Stage::Pending { viewer_conn, .. }, .. }) = self.sessions.remove(&id) {
+            self.request_counts.answered += 1;
+            if let Some(viewer) = self.viewers.get_mut(&viewer_conn) {
+                viewer.open_setups.remove(&id);
+                self.io_actions.push(IoAction::Write { conn: viewer_conn, bytes });
             }
         }
     }
 
-    /// How the SETUP of a session ended that is out no more.
-    fn setup_ended(&mut self, id: SessionId, ending: SetupOutcome, now: Ms) {
-        if let Some(Session { stage: Stage::Asked { out, .. }, .. }) = self.sess.get_mut(&id) {
-            *out = None;
-            self.desk.ended(id, ending, false, now, &mut self.actions);
+    /// Passes the outcome of a session's SETUP to the desk, which decides what comes next.
+    fn setup_ended(&mut self, id: SessionId, outcome: SetupOutcome, now: Ms) {
+        if let Some(Session { stage: Stage::Pending { setup, .. }, .. }) = self.sessions.get_mut(&id) {
+            *setup = None;
+            self.desk.ended(id, outcome, false, now, &mut self.desk_actions);
         }
     }
 
-    /// A session that stood is over; its viewer is told the cause where one is owed.
-    fn over(&mut self, id: SessionId, ending: SetupOutcome, cause: Option<u32>, now: Ms) {
-        let Some(Session { stage: Stage::Stands { from, server, .. }, .. }) = self.sess.remove(&id) else {
+    /// Ends a playing session. With a cause, a release goes to its viewer.
+    fn end_session(&mut self, id: SessionId, outcome: SetupOutcome, cause: Option<u32>, now: Ms) {
+        let Some(Session { stage: Stage::Playing { viewer_conn, server, .. }, .. }) =
+            self.sessions.remove(&id)
+        else {
             return;
         };
         if let Some(s) = self.servers.get_mut(&server) {
-            s.standing.remove(&id);
+            s.sessions.remove(&id);
         }
         if let Some(cause) = cause {
-            self.release(id.0, from, cause, now);
+            self.release_viewer(id.0, viewer_conn, cause, now);
         }
-        self.desk.ended(id, ending, true, now, &mut self.actions);
+        self.desk.ended(id, outcome, true, now, &mut self.desk_actions);
     }
 }
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between front nodes: the module says what is told, and what is heard goes to it.
+//! Load reports between front nodes: the desk says what is sent and gets what is received.
 use super::Node;
 use crate::actions::IoAction;
 use std::net::SocketAddr;
@@ -8,54 +8,54 @@
 use walnutline_platform::peers::{self, ServerStatus};
 
 impl Node {
-    pub(super) fn tell(&mut self, news: &[PeerReport], now: Ms) {
-        let Some(to) = self.told.peer_broadcast_address else { return };
-        let entry = |n: &PeerReport| {
-            let s = self.servers.get(&n.server)?;
-            let since = (now - s.process).max(0.0);
+    pub(super) fn send_peer_reports(&mut self, reports: &[PeerReport], now: Ms) {
+        let Some(to) = self.configuration.peer_broadcast_address else { return };
+        let to_status = |report: &PeerReport| {
+            let s = self.servers.get(&report.server)?;
+            let known_uptime_ms = (now - s.process_known_since).max(0.0);
             Some(ServerStatus {
                 name_hash: peers::hash_server_name(&s.name),
-                age_ms: n.age,
-                stream_share: n.stream_use,
-                link_use: n.link_use,
-                known_uptime_ms: since,
+                age_ms: report.age,
+                stream_share: report.stream_use,
+                link_use: report.link_use,
+                known_uptime_ms,
             })
         };
-        let entries: Vec<ServerStatus> = news.iter().filter_map(entry).collect();
-        self.dos.push(IoAction::SendPeerReports { to, bytes: peers::encode(&entries) });
+        let statuses: Vec<ServerStatus> = reports.iter().filter_map(to_status).collect();
+        self.io_actions.push(IoAction::SendPeerReports { to, bytes: peers::encode(&statuses) });
     }
 
-    /// A datagram on the address for other front nodes. What does not come from one of them, can't be read or tells of
-    /// servers that are not listed is passed over.
+    /// Handles a datagram from `from` on the address for other front nodes. Datagrams from other senders,
+    /// unreadable ones and reports on servers that are not listed are ignored.
     pub fn peer_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
-        if !self.told.peer_addresses.contains(&from) {
+        if !self.configuration.peer_addresses.contains(&from) {
             return;
         }
-        let Some(entries) = peers::decode(bytes) else { return };
+        let Some(statuses) = peers::decode(bytes) else { return };
         let mut by_hash: Vec<(u32, ServerId)> = Vec::with_capacity(self.servers.len());
-        let there = self.servers.iter().filter(|(_, s)| s.listing != ServerState::Gone);
-        by_hash.extend(there.map(|(id, s)| (peers::hash_server_name(&s.name), *id)));
+        let listed = self.servers.iter().filter(|(_, s)| s.list_state != ServerState::Gone);
+        by_hash.extend(listed.map(|(id, s)| (peers::hash_server_name(&s.name), *id)));
         by_hash.sort_unstable();
-        let news = |e: &ServerStatus| {
-            let first = by_hash.partition_point(|(hash, _)| *hash < e.name_hash);
+        let to_report = |status: &ServerStatus| {
+            let first = by_hash.partition_point(|(hash, _)| *hash < status.name_hash);
             let (hash, server) = *by_hash.get(first)?;
-            let two = by_hash.get(first + 1).is_some_and(|(next, _)| *next == e.name_hash);
-            (hash == e.name_hash && !two).then_some(PeerReport {
+            let ambiguous = by_hash.get(first + 1).is_some_and(|(next, _)| *next == status.name_hash);
+            (hash == status.name_hash && !ambiguous).then_some(PeerReport {
                 server,
-                stream_use: e.stream_share,
-                link_use: e.link_use,
-                age: e.age_ms,
-                process_age: e.known_uptime_ms,
+                stream_use: status.stream_share,
+                link_use: status.link_use,
+                age: status.age_ms,
+                process_age: status.known_uptime_ms,
             })
         };
-        let news: Vec<PeerReport> = entries.iter().filter_map(news).collect();
-        // A server that answered another node is there. Guards against each node testing each server where something
-        // stands: tests are priced and take a server's time as probes do.
-        for n in &news {
-            if let Some(s) = self.servers.get_mut(&n.server) {
-                s.heard = s.heard.max(now - n.age);
+        let reports: Vec<PeerReport> = statuses.iter().filter_map(to_report).collect();
+        // A server that answered another node is alive. Without this, each node would ping each server that
+        // has sessions: pings are priced and take a server's time as probes do.
+        for report in &reports {
+            if let Some(s) = self.servers.get_mut(&report.server) {
+                s.last_seen_at = s.last_seen_at.max(now - report.age);
             }
         }
-        self.desk.peer_told(&news, now);
+        self.desk.peer_told(&reports, now);
     }
 }
--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to servers: which one a message goes out on, and what the end of each proves.
-use super::{Due, Node, Out, Stage};
+//! Connections to servers: which one a message is sent on, and what the end of one implies.
+use super::{Node, PendingSetup, Stage, TimerEvent};
 use crate::actions::{ConnectionEnd, ConnectionId, IoAction};
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,447 +15,528 @@
 pub(super) struct Server {
     pub name: String,
     pub address: SocketAddr,
-    pub listing: ServerState,
-    pub started: Option<Ms>,
-    pub lines: Vec<ConnectionId>,
-    /// Sessions that stand there.
-    pub standing: BTreeSet<SessionId>,
-    /// Messages on sessions there that wait for a connection: the last one of each.
-    pub unsent: BTreeMap<SessionId, Unsent>,
-    /// When it last said something, here or to another node.
-    pub heard: Ms,
-    /// When it last said something here.
-    pub said: Ms,
-    /// When the connection was opened that was last heard on: its process is at least as old.
-    pub process: Ms,
-    /// When a connection to it last ended, or did not come up.
-    pub broke: Ms,
-    /// When one was last closed for want of room.
-    pub parted: Ms,
-    /// Connections in a row that did not come up.
-    pub fails: u32,
+    pub list_state: ServerState,
+    pub started_at: Option<Ms>,
+    pub connections: Vec<ConnectionId>,
+    /// Sessions that play on it.
+    pub sessions: BTreeSet<SessionId>,
+    /// The last message on each session that waits for a connection.
+    pub unsent: BTreeMap<SessionId, SessionMessage>,
+    /// When it last sent anything, to this node or another.
+    pub last_seen_at: Ms,
+    /// When it last sent anything to this node.
+    pub last_message_at: Ms,
+    /// When the connection was opened on which it last sent anything: its process is at least as old.
+    pub process_known_since: Ms,
+    /// When a connection to it last ended or could not be opened.
+    pub last_disconnect_at: Ms,
+    /// When a connection to it was last closed to make room for another.
+    pub closed_for_room_at: Ms,
+    /// Connections in a row that could not be opened.
+    pub connect_failures: u32,
     pub retry: Retry,
 }
 
-/// A message on a session that waits for a connection to its server.
+/// A message to a server about a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Unsent {
+pub(super) enum SessionMessage {
     Rung(u8),
-    /// It is to end.
     Release,
 }
 
-/// What a test is for.
+/// The reason for an OPTIONS request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Test {
-    /// The module asked.
+pub(super) enum OptionsPurpose {
+    /// The desk asked for the server's load.
     Probe,
-    /// It has not been heard for long.
-    There,
+    /// The server has been silent for a long time.
+    Ping,
 }
 
-pub(super) struct Line {
+pub(super) struct ServerConnection {
     pub server: ServerId,
     pub up: bool,
     pub reader: MessageReader,
-    pub partial: Option<Ms>,
-    /// SETUPs that are out on it, or wait for it to open.
-    pub out: BTreeSet<SessionId>,
-    pub tests: BTreeMap<u64, Test>,
-    /// Tests that wait for it to open.
-    pub probes: u32,
-    /// Set-ups that are over, given up or refused: a good answer that still comes is released.
-    pub given_up: VecDeque<SessionId>,
-    /// Releases written on it that were not heard: what is lost with it is sent again.
-    pub releases: VecDeque<(Ms, SessionId)>,
-    /// When it began to be opened.
-    pub opened: Ms,
-    pub used: Ms,
+    /// When a message began that is not complete yet.
+    pub partial_since: Option<Ms>,
+    /// SETUPs without an answer, sent or waiting for the connection to open.
+    pub pending_setups: BTreeSet<SessionId>,
+    pub pending_options: BTreeMap<u64, OptionsPurpose>,
+    /// Probes that wait for the connection to open.
+    pub queued_probes: u32,
+    /// Set-ups that were cancelled or refused: if a positive answer still comes, the session is released.
+    pub ended_setups: VecDeque<SessionId>,
+    /// Releases written but not confirmed, with their times: they are sent again if the connection is lost.
+    pub unconfirmed_releases: VecDeque<(Ms, SessionId)>,
+    /// When the connection attempt began.
+    pub opened_at: Ms,
+    pub last_used_at: Ms,
 }
 
 impl Server {
-    /// Whether a connection is wanted: something stands there, or is still to be told. One that could not be
-    /// opened is not tried again for the latter alone: what is to be told goes out on the next one that is
-    /// opened.
-    pub fn is_needed(&self) -> bool {
-        !self.standing.is_empty() || !self.unsent.is_empty() && self.fails == 0
+    /// Whether a connection is wanted, for sessions or for unsent messages. After a failed attempt, unsent
+    /// messages alone are no reason for another: they are sent on the next connection that is opened.
+    pub fn needs_connection(&self) -> bool {
+        !self.sessions.is_empty() || !self.unsent.is_empty() && self.connect_failures == 0
     }
 
-    /// Releases that were not heard on a connection that is over go out on the next one.
-    fn keep_unheard(&mut self, releases: VecDeque<(Ms, SessionId)>, now: Ms) {
+    /// Keeps the unconfirmed releases of an ended connection for the next one.
+    fn keep_unconfirmed(&mut self, releases: VecDeque<(Ms, SessionId)>, now: Ms) {
         for (_, id) in releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_RETENTION) {
-            self.unsent.entry(id).or_insert(Unsent::Release);
+            self.unsent.entry(id).or_insert(SessionMessage::Release);
         }
     }
 }
 
-impl Line {
-    pub fn is_over(&mut self, id: SessionId) {
-        if self.given_up.len() >= limits::MAX_ENDED_SETUPS {
-            self.given_up.pop_front();
+impl ServerConnection {
+    pub fn record_ended_setup(&mut self, id: SessionId) {
+        if self.ended_setups.len() >= limits::MAX_ENDED_SETUPS {
+            self.ended_setups.pop_front();
         }
-        self.given_up.push_back(id);
+        self.ended_setups.push_back(id);
     }
 }
 
 impl Node {
     // ---- opening and closing ----
 
-    fn connect(&mut self, server: ServerId, now: Ms) -> Option<ConnectionId> {
-        if self.lines.len() >= self.most_lines && !self.make_room(now) {
+    fn connect(&mut self, server_id: ServerId, now: Ms) -> Option<ConnectionId> {
+        if self.server_connections.len() >= self.max_server_connections && !self.make_room(now) {
             return None;
         }
-        let address = self.servers.get(&server)?.address;
+        let address = self.servers.get(&server_id)?.address;
         let conn = self.new_connection_id();
-        self.servers.get_mut(&server)?.lines.push(conn);
-        let line = Line {
-            server,
+        self.servers.get_mut(&server_id)?.connections.push(conn);
+        let connection = ServerConnection {
+            server: server_id,
             up: false,
             reader: MessageReader::default(),
-            partial: None,
-            out: BTreeSet::new(),
-            tests: BTreeMap::new(),
-            probes: 0,
-            given_up: VecDeque::new(),
-            releases: VecDeque::new(),
-            opened: now,
-            used: now,
+            partial_since: None,
+            pending_setups: BTreeSet::new(),
+            pending_options: BTreeMap::new(),
+            queued_probes: 0,
+            ended_setups: VecDeque::new(),
+            unconfirmed_releases: VecDeque::new(),
+            opened_at: now,
+            last_used_at: now,
         };
-        self.lines.insert(conn, line);
-        self.timers.set(now + self.told.connect_timeout_ms, Due::Connecting { conn });
-        self.dos.push(IoAction::Connect { conn, address });
+        self.server_connections.insert(conn, connection);
+        self.timers.set(now + self.configuration.connect_timeout_ms, TimerEvent::ConnectTimeout { conn });
+        self.io_actions.push(IoAction::Connect { conn, address });
         Some(conn)
     }
 
-    /// With as many connections as there is room for, the one that can best be done without is closed: of those with
-    /// nothing out, one where no session stands, then the one longest unused. What a server tells of a session
-    /// waits for the next connection; the sweep sees to it that there is one in time.
+    /// Closes one connection if there is one without pending messages: preferably to a server without
+    /// sessions, then the least recently used one. The server's reports on its sessions wait for the next
+    /// connection, which the sweep opens in time.
     fn make_room(&mut self, now: Ms) -> bool {
-        let stands = |l: &Line| self.servers.get(&l.server).is_some_and(|s| !s.standing.is_empty());
-        let idle = self.lines.iter().filter(|(_, l)| l.up && l.out.is_empty() && l.tests.is_empty());
-        let victim = idle.min_by(|(_, a), (_, b)| stands(a).cmp(&stands(b)).then(a.used.total_cmp(&b.used)));
-        let Some((conn, server)) = victim.map(|(conn, l)| (*conn, l.server)) else { return false };
-        self.let_go(conn, server, now);
+        let has_sessions =
+            |c: &ServerConnection| self.servers.get(&c.server).is_some_and(|s| !s.sessions.is_empty());
+        let idle = self
+            .server_connections
+            .iter()
+            .filter(|(_, c)| c.up && c.pending_setups.is_empty() && c.pending_options.is_empty());
+        let victim = idle.min_by(|(_, a), (_, b)| {
+            has_sessions(a).cmp(&has_sessions(b)).then(a.last_used_at.total_cmp(&b.last_used_at))
+        });
+        let Some((conn, server_id)) = victim.map(|(conn, c)| (*conn, c.server)) else { return false };
+        self.close_working_connection(conn, server_id, now);
         true
     }
 
-    /// Closes a connection that is well: nothing is proved by its end.
-    fn let_go(&mut self, conn: ConnectionId, server: ServerId, now: Ms) {
-        let releases = self.lines.remove(&conn).map(|line| line.releases).unwrap_or_default();
-        self.dos.push(IoAction::Close { conn });
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.lines.retain(|c| *c != conn);
-        s.parted = now;
-        match s.lines.iter().copied().find(|c| self.lines.get(c).is_some_and(|l| l.up)) {
-            None => s.keep_unheard(releases, now),
+    /// Closes a connection that works: its end says nothing about the server.
+    fn close_working_connection(&mut self, conn: ConnectionId, server_id: ServerId, now: Ms) {
+        let releases =
+            self.server_connections.remove(&conn).map(|c| c.unconfirmed_releases).unwrap_or_default();
+        self.io_actions.push(IoAction::Close { conn });
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.connections.retain(|c| *c != conn);
+        server.closed_for_room_at = now;
+        match server
+            .connections
+            .iter()
+            .copied()
+            .find(|other| self.server_connections.get(other).is_some_and(|c| c.up))
+        {
+            None => server.keep_unconfirmed(releases, now),
             Some(other) => {
-                let young = releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_RETENTION);
-                young.for_each(|(_, id)| self.write_to_server(other, id, Unsent::Release, now));
+                let recent = releases.into_iter().filter(|(at, _)| now - at < limits::RELEASE_RETENTION);
+                recent.for_each(|(_, id)| self.write_to_server(other, id, SessionMessage::Release, now));
             }
         }
     }
 
-    /// Sees to it that a server has a connection, or one that is being opened.
-    pub(super) fn keep_up(&mut self, server: ServerId, now: Ms) {
-        if self.servers.get(&server).is_some_and(|s| s.lines.is_empty() && s.listing != ServerState::Gone) {
-            self.connect(server, now);
+    /// Opens a connection to a listed server that has none.
+    pub(super) fn ensure_connection(&mut self, server_id: ServerId, now: Ms) {
+        if self
+            .servers
+            .get(&server_id)
+            .is_some_and(|s| s.connections.is_empty() && s.list_state != ServerState::Gone)
+        {
+            self.connect(server_id, now);
         }
     }
 
-    /// A connection came up.
+    /// Handles that a connection to a server has opened.
     pub fn server_connected(&mut self, conn: ConnectionId, now: Ms) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        (line.up, line.used) = (true, now);
-        let (server, waiting, probes) = (line.server, line.out.clone(), std::mem::take(&mut line.probes));
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.fails = 0;
-        s.retry.worked();
-        // Connections reset, and taken again at once: a process that ends is gone for longer. What another node
-        // heard may be the new one already.
-        if now - s.said < limits::MIN_PROCESS_RESTART_TIME {
-            self.desk.lives(server, Ms::NEG_INFINITY);
+        let Some(connection) = self.server_connections.get_mut(&conn) else { return };
+        (connection.up, connection.last_used_at) = (true, now);
+        let (server_id, waiting, probes) = (
+            connection.server,
+            connection.pending_setups.clone(),
+            std::mem::take(&mut connection.queued_probes),
+        );
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.connect_failures = 0;
+        server.retry.worked();
+        // The process can't have been replaced since its last message: earlier connections were reset, but it
+        // is alive. A message to another node may have come from a new process already, so it doesn't count.
+        if now - server.last_message_at < limits::MIN_PROCESS_RESTART_TIME {
+            self.desk.lives(server_id, Ms::NEG_INFINITY);
         }
-        // It was to tell whether a silent machine is there, and has told: a process that stands still for long
-        // would else gather one more with each test.
-        // An older one goes, as a server sends what may have been lost on the one that is opened last.
-        if s.lines.len() > limits::MAX_CONNECTIONS_PER_SERVER && waiting.is_empty() && probes == 0 {
-            let idle = s.lines.iter().filter_map(|c| Some((c, self.lines.get(c)?)));
-            let idle = idle.filter(|(c, l)| {
-                **c != conn && l.up && l.out.is_empty() && l.tests.values().all(|t| *t == Test::There)
+        // Beyond the limit, this connection was opened to check whether a silent machine is alive, and has
+        // served its purpose: a process that hangs for long would otherwise gather one more connection with
+        // each ping. An older one is closed rather than this one, as a server repeats what may have been lost
+        // on the newest connection.
+        if server.connections.len() > limits::MAX_CONNECTIONS_PER_SERVER && waiting.is_empty() && probes == 0
+        {
+            let idle = server
+                .connections
+                .iter()
+                .filter_map(|other| Some((other, self.server_connections.get(other)?)));
+            let idle = idle.filter(|(other, connection)| {
+                **other != conn
+                    && connection.up
+                    && connection.pending_setups.is_empty()
+                    && connection.pending_options.values().all(|p| *p == OptionsPurpose::Ping)
             });
-            let oldest = idle.min_by(|(_, a), (_, b)| a.used.total_cmp(&b.used)).map(|(c, _)| *c);
-            // Not as one that broke: no other one is opened for it.
-            self.let_go(oldest.unwrap_or(conn), server, now);
+            let oldest =
+                idle.min_by(|(_, a), (_, b)| a.last_used_at.total_cmp(&b.last_used_at)).map(|(c, _)| *c);
+            // Not handled as a lost connection, which would be replaced by another.
+            self.close_working_connection(oldest.unwrap_or(conn), server_id, now);
             if oldest.is_none() {
                 return;
             }
         }
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        for (id, unsent) in std::mem::take(&mut s.unsent) {
-            self.write_to_server(conn, id, unsent, now);
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        for (id, message) in std::mem::take(&mut server.unsent) {
+            self.write_to_server(conn, id, message, now);
         }
-        waiting.into_iter().for_each(|id| self.ready_setup(id));
-        (0..probes).for_each(|_| self.test(conn, Test::Probe, now));
-        self.settle(now);
+        waiting.into_iter().for_each(|id| self.offer_setup(id));
+        (0..probes).for_each(|_| self.send_options(conn, OptionsPurpose::Probe, now));
+        self.process_desk_actions(now);
     }
 
-    pub(super) fn close_line(&mut self, conn: ConnectionId, now: Ms) {
-        self.dos.push(IoAction::Close { conn });
-        self.line_closed(conn, ConnectionEnd::Closed, now);
+    pub(super) fn close_server_connection(&mut self, conn: ConnectionId, now: Ms) {
+        self.io_actions.push(IoAction::Close { conn });
+        self.server_connection_closed(conn, ConnectionEnd::Closed, now);
     }
 
-    pub(super) fn line_closed(&mut self, conn: ConnectionId, end: ConnectionEnd, now: Ms) {
-        let Some(line) = self.lines.remove(&conn) else { return };
-        let server = line.server;
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.lines.retain(|c| *c != conn);
-        s.broke = now;
-        if !line.up && end != ConnectionEnd::Unopened {
-            s.fails += 1;
+    pub(super) fn server_connection_closed(&mut self, conn: ConnectionId, end: ConnectionEnd, now: Ms) {
+        let Some(connection) = self.server_connections.remove(&conn) else { return };
+        let server_id = connection.server;
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.connections.retain(|c| *c != conn);
+        server.last_disconnect_at = now;
+        if !connection.up && end != ConnectionEnd::Unopened {
+            server.connect_failures += 1;
         }
-        if line.up {
-            s.keep_unheard(line.releases, now);
+        if connection.up {
+            server.keep_unconfirmed(connection.unconfirmed_releases, now);
         }
-        // Nobody listens, and no other connection is open, which would be reset: its process is gone, and what stood
-        // there is cut. A machine that takes no new connection
-        // and says nothing on an old one is gone as well. One that is gone from the list is not asked again: its
-        // address may be another's.
-        let silent =
-            now - s.heard > limits::PING_AFTER_SILENCE && s.fails > 0 && end != ConnectionEnd::Unopened;
-        let gone = s.listing == ServerState::Gone && s.lines.is_empty();
-        let others = s.lines.iter().any(|c| self.lines.get(c).is_some_and(|l| l.up));
+        // The process has ended, and its sessions with it, if a connection is refused while no other one is
+        // open (an open one would be reset). A machine that neither accepts a connection nor sends anything
+        // on an old one is gone as well. A server that is no longer listed isn't connected to again: its
+        // address may belong to another by now.
+        let silent = now - server.last_seen_at > limits::PING_AFTER_SILENCE
+            && server.connect_failures > 0
+            && end != ConnectionEnd::Unopened;
+        let gone = server.list_state == ServerState::Gone && server.connections.is_empty();
+        let others =
+            server.connections.iter().any(|other| self.server_connections.get(other).is_some_and(|c| c.up));
         if end == ConnectionEnd::Refused && !others {
-            s.unsent.clear();
+            server.unsent.clear();
         }
-        if end == ConnectionEnd::Refused && !others || !line.up && silent || gone {
-            self.cut(server, now);
-        } else if self.servers[&server].is_needed() {
-            if line.up {
-                // What the server sent on it may be lost; releases are sent again on the next one opened.
-                self.connect(server, now);
-            } else if let Some(s) = self.servers.get_mut(&server) {
-                let wait = s.retry.failed(&mut self.rng);
-                self.timers.set(now + wait, Due::Reconnect { server });
+        if end == ConnectionEnd::Refused && !others || !connection.up && silent || gone {
+            self.end_all_sessions(server_id, now);
+        } else if self.servers[&server_id].needs_connection() {
+            if connection.up {
+                // Messages of the server on this connection may be lost; it repeats releases on the next one.
+                self.connect(server_id, now);
+            } else if let Some(server) = self.servers.get_mut(&server_id) {
+                let delay = server.retry.failed(&mut self.rng);
+                self.timers.set(now + delay, TimerEvent::Reconnect { server: server_id });
             }
         }
-        let ending = match (line.up, end) {
+        let outcome = match (connection.up, end) {
             (true, _) => SetupOutcome::Broken,
             (false, ConnectionEnd::Unopened) => SetupOutcome::NeverSent,
             (false, _) => SetupOutcome::NoConnection,
         };
-        for id in line.out {
-            let written = matches!(self.sess.get(&id).map(|s| &s.stage), Some(Stage::Asked { out: Some(out), .. }) if out.written);
-            self.setup_ended(id, if line.up && !written { SetupOutcome::NeverSent } else { ending }, now);
+        for id in connection.pending_setups {
+            let sent = matches!(
+                self.sessions.get(&id).map(|s| &s.stage),
+                Some(Stage::Pending { setup: Some(setup), .. }) if setup.sent
+            );
+            self.setup_ended(id, if connection.up && !sent { SetupOutcome::NeverSent } else { outcome }, now);
         }
-        let probes = line.tests.values().filter(|t| **t == Test::Probe).count() as u32 + line.probes;
-        (0..probes).for_each(|_| self.desk.probed(server, ending, now));
+        let probes = connection.pending_options.values().filter(|p| **p == OptionsPurpose::Probe).count()
+            as u32
+            + connection.queued_probes;
+        (0..probes).for_each(|_| self.desk.probed(server_id, outcome, now));
     }
 
-    /// All that stood at a server is over.
-    pub(super) fn cut(&mut self, server: ServerId, now: Ms) {
-        self.cut_before(server, Ms::INFINITY, now);
+    /// Ends all sessions on a server.
+    pub(super) fn end_all_sessions(&mut self, server_id: ServerId, now: Ms) {
+        self.end_sessions_before(server_id, Ms::INFINITY, now);
     }
 
-    /// All that stood at a server before that time is over.
-    pub(super) fn cut_before(&mut self, server: ServerId, then: Ms, now: Ms) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        let sess = &self.sess;
-        let old = |id: &SessionId| match sess.get(id).map(|s| &s.stage) {
-            Some(Stage::Stands { since, .. }) => *since < then,
+    /// Ends all sessions on a server that began to play before `cutoff`.
+    pub(super) fn end_sessions_before(&mut self, server_id: ServerId, cutoff: Ms, now: Ms) {
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        let sessions = &self.sessions;
+        let began_before = |id: &SessionId| match sessions.get(id).map(|s| &s.stage) {
+            Some(Stage::Playing { since, .. }) => *since < cutoff,
             _ => true,
         };
-        let standing: Vec<SessionId> = s.standing.iter().copied().filter(old).collect();
-        for id in &standing {
-            s.standing.remove(id);
-            s.unsent.remove(id);
+        let ended: Vec<SessionId> = server.sessions.iter().copied().filter(began_before).collect();
+        for id in &ended {
+            server.sessions.remove(id);
+            server.unsent.remove(id);
         }
-        if !standing.is_empty() {
-            self.dos.push(IoAction::Log(format!("server {} gone: {} sessions cut", s.name, standing.len())));
+        if !ended.is_empty() {
+            self.io_actions.push(IoAction::Log(format!(
+                "server {} gone: {} sessions cut",
+                server.name,
+                ended.len()
+            )));
         }
-        standing.into_iter().for_each(|id| {
-            self.over(id, SetupOutcome::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now)
+        ended.into_iter().for_each(|id| {
+            self.end_session(id, SetupOutcome::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now)
         });
     }
 
-    // ---- what goes out ----
+    // ---- messages to servers ----
 
-    pub(super) fn setup(&mut self, id: SessionId, server: ServerId, timeout: Ms, now: Ms) {
-        let Some(sess) = self.sess.get_mut(&id) else { return };
-        let Stage::Asked { out, .. } = &mut sess.stage else { return };
-        debug_assert!(out.is_none(), "two SETUPs out for {id:?}");
-        let Some(s) = self.servers.get(&server) else {
+    /// Starts a SETUP on the connection that suits best: one without a pending SETUP, else a new one, else
+    /// the one with the fewest.
+    pub(super) fn start_setup(&mut self, id: SessionId, server_id: ServerId, timeout: Ms, now: Ms) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Stage::Pending { setup, .. } = &mut session.stage else { return };
+        debug_assert!(setup.is_none(), "two SETUPs out for {id:?}");
+        let Some(server) = self.servers.get(&server_id) else {
             return self.setup_ended(id, SetupOutcome::NoConnection, now);
         };
-        // One with nothing out on it, else a new one, else the one with least.
-        let load = |c: &ConnectionId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
-        // Not one on which an earlier SETUP of this session was given up: the answer to that one may still come, and
-        // would be taken for this one's.
-        let first = sess.setups == 0;
-        let other = |c: &ConnectionId| first || self.lines.get(c).is_none_or(|l| !l.given_up.contains(&id));
-        let best = s.lines.iter().copied().filter(other).min_by_key(load);
+        let load = |conn: &ConnectionId| {
+            self.server_connections.get(conn).map_or((true, usize::MAX), |c| (!c.up, c.pending_setups.len()))
+        };
+        // Not a connection on which an earlier SETUP of this session was cancelled: the answer to that one
+        // may still come and would be taken for this one's.
+        let first = session.setup_count == 0;
+        let usable = |conn: &ConnectionId| {
+            first || self.server_connections.get(conn).is_none_or(|c| !c.ended_setups.contains(&id))
+        };
+        let best = server.connections.iter().copied().filter(usable).min_by_key(load);
         let free = best.filter(|c| load(c).1 == 0);
-        let room = best.is_none()
-            || s.lines.len() < limits::MAX_CONNECTIONS_PER_SERVER && self.lines.len() < self.most_lines;
-        let Some(conn) = free.or_else(|| if room { self.connect(server, now) } else { best }) else {
-            // No room here: that is not the server's fault.
+        let may_connect = best.is_none()
+            || server.connections.len() < limits::MAX_CONNECTIONS_PER_SERVER
+                && self.server_connections.len() < self.max_server_connections;
+        let Some(conn) = free.or_else(|| if may_connect { self.connect(server_id, now) } else { best })
+        else {
+            // This node is at its limit of connections, which is no failure of the server.
             return self.setup_ended(id, SetupOutcome::NeverSent, now);
         };
-        let Some(sess) = self.sess.get_mut(&id) else { return };
-        sess.setups += 1;
-        sess.until = now + timeout;
-        let no = sess.setups;
-        if let Stage::Asked { out, .. } = &mut sess.stage {
-            *out = Some(Out { server, line: conn, no, written: false });
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        session.setup_count += 1;
+        session.setup_deadline = now + timeout;
+        let attempt = session.setup_count;
+        if let Stage::Pending { setup, .. } = &mut session.stage {
+            *setup = Some(PendingSetup { server: server_id, conn, attempt, sent: false });
         }
-        self.timers.set(now + timeout, Due::Setup { id, no });
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.out.insert(id);
-            if line.up {
-                self.ready_setup(id);
+        self.timers.set(now + timeout, TimerEvent::SetupTimeout { id, attempt });
+        if let Some(connection) = self.server_connections.get_mut(&conn) {
+            connection.pending_setups.insert(id);
+            if connection.up {
+                self.offer_setup(id);
             }
         }
     }
 
-    /// A SETUP is ready to go out. What is still unheard of its viewer comes first: it may have gone.
-    fn ready_setup(&mut self, id: SessionId) {
-        if let Some(Stage::Asked { out: Some(out), .. }) = self.sess.get(&id).map(|s| &s.stage) {
-            self.dos.push(IoAction::OfferSetup { id, attempt: out.no });
+    /// Offers a SETUP to the edge, which first handles what is unread from its viewer: it may have cancelled
+    /// or closed.
+    fn offer_setup(&mut self, id: SessionId) {
+        if let Some(Stage::Pending { setup: Some(setup), .. }) = self.sessions.get(&id).map(|s| &s.stage) {
+            self.io_actions.push(IoAction::OfferSetup { id, attempt: setup.attempt });
         }
     }
 
-    /// The viewer's connection that an offered SETUP is for now, as it may have asked again on another one,
-    /// and the server's connection; `None` where it is not wanted any more.
-    pub fn offered_setup_connections(&self, id: SessionId, no: u32) -> Option<(ConnectionId, ConnectionId)> {
-        match self.sess.get(&id).map(|s| &s.stage) {
-            Some(Stage::Asked { from, out: Some(out), .. }) if out.no == no && !out.written => {
-                Some((*from, out.line))
+    /// The connections of the viewer and the server of an offered SETUP, or `None` if it is no longer wanted.
+    /// The viewer's may have changed since the offer, if it repeated its request on another one.
+    pub fn offered_setup_connections(
+        &self,
+        id: SessionId,
+        attempt: u32,
+    ) -> Option<(ConnectionId, ConnectionId)> {
+        match self.sessions.get(&id).map(|s| &s.stage) {
+            Some(Stage::Pending { viewer_conn, setup: Some(setup), .. })
+                if setup.attempt == attempt && !setup.sent =>
+            {
+                Some((*viewer_conn, setup.conn))
             }
             _ => None,
         }
     }
 
-    /// The bytes of a SETUP that goes out now, with the rung that the module has set and the time that is
-    /// left of its time-out; `None` where it is not wanted any more.
-    pub fn send_setup(&mut self, id: SessionId, no: u32, now: Ms) -> Option<Vec<u8>> {
+    /// Marks an offered SETUP as sent and returns its bytes, with the session's current rung and the rest of
+    /// the time-out; `None` if it is no longer wanted.
+    pub fn send_setup(&mut self, id: SessionId, attempt: u32, now: Ms) -> Option<Vec<u8>> {
         let rung = self.desk.hand.sessions.get(&id).map_or(0, |s| s.rung);
-        let sess = self.sess.get_mut(&id)?;
-        let Stage::Asked { wanted, out: Some(out), .. } = &mut sess.stage else { return None };
-        if out.no != no || out.written || now >= sess.until {
+        let session = self.sessions.get_mut(&id)?;
+        let Stage::Pending { request, setup: Some(setup), .. } = &mut session.stage else { return None };
+        if setup.attempt != attempt || setup.sent || now >= session.setup_deadline {
             return None;
         }
-        out.written = true;
-        self.lines.get_mut(&out.line).into_iter().for_each(|line| line.used = now);
-        Some(server::setup_request(wanted, rung, sess.until - now))
+        setup.sent = true;
+        self.server_connections.get_mut(&setup.conn).into_iter().for_each(|c| c.last_used_at = now);
+        Some(server::setup_request(request, rung, session.setup_deadline - now))
     }
 
-    /// The connection of a SETUP takes nothing now: it never left, and another server may be asked.
-    pub fn setup_blocked(&mut self, id: SessionId, no: u32, now: Ms) {
-        if let Some(Stage::Asked { out: Some(out), .. }) = self.sess.get(&id).map(|s| &s.stage) {
-            let out = *out;
-            if out.no == no && !out.written {
-                self.give_up(id, out);
+    /// Handles that the connection for an offered SETUP can't take it now: it ends unsent, and another server
+    /// may be used.
+    pub fn setup_blocked(&mut self, id: SessionId, attempt: u32, now: Ms) {
+        if let Some(Stage::Pending { setup: Some(setup), .. }) = self.sessions.get(&id).map(|s| &s.stage) {
+            let setup = *setup;
+            if setup.attempt == attempt && !setup.sent {
+                self.cancel_setup(id, setup);
                 self.setup_ended(id, SetupOutcome::NeverSent, now);
-                self.settle(now);
+                self.process_desk_actions(now);
             }
         }
     }
 
-    /// A SETUP whose time is over.
-    pub(super) fn setup_due(&mut self, id: SessionId, no: u32, now: Ms) {
-        let out = match self.sess.get(&id).map(|s| &s.stage) {
-            Some(Stage::Asked { out: Some(out), .. }) if out.no == no => *out,
+    pub(super) fn setup_timed_out(&mut self, id: SessionId, attempt: u32, now: Ms) {
+        let setup = match self.sessions.get(&id).map(|s| &s.stage) {
+            Some(Stage::Pending { setup: Some(setup), .. }) if setup.attempt == attempt => *setup,
             _ => return,
         };
-        self.give_up(id, out);
-        let up = self.lines.get(&out.line).is_some_and(|l| l.up);
-        let ending = match out.written {
+        self.cancel_setup(id, setup);
+        let up = self.server_connections.get(&setup.conn).is_some_and(|c| c.up);
+        let outcome = match setup.sent {
             true => SetupOutcome::TimedOut,
-            // Held back here: that is not the server's fault.
+            // Held back by this node, which is no failure of the server.
             false if up => SetupOutcome::NeverSent,
             false => SetupOutcome::NoConnection,
         };
-        self.setup_ended(id, ending, now);
+        self.setup_ended(id, outcome, now);
     }
 
-    /// Tells the server that a SETUP is no longer waited for.
-    pub(super) fn give_up(&mut self, id: SessionId, out: Out) {
-        let Some(line) = self.lines.get_mut(&out.line) else { return };
-        line.out.remove(&id);
-        if out.written {
-            line.is_over(id);
-            self.dos.push(IoAction::Write { conn: out.line, bytes: server::setup_cancel_request(id.0) });
+    /// Withdraws a SETUP, with a message to the server if it was sent.
+    pub(super) fn cancel_setup(&mut self, id: SessionId, setup: PendingSetup) {
+        let Some(connection) = self.server_connections.get_mut(&setup.conn) else { return };
+        connection.pending_setups.remove(&id);
+        if setup.sent {
+            connection.record_ended_setup(id);
+            self.io_actions
+                .push(IoAction::Write { conn: setup.conn, bytes: server::setup_cancel_request(id.0) });
         }
     }
 
-    /// A message on a session that stands, on any connection to its server.
-    pub(super) fn tell_server(&mut self, server: ServerId, id: SessionId, what: Unsent, now: Ms) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        let up = s.lines.iter().find(|c| self.lines.get(c).is_some_and(|l| l.up)).copied();
+    /// Sends a message on a playing session, on any connection to its server, or keeps it until one opens.
+    pub(super) fn send_to_server(
+        &mut self,
+        server_id: ServerId,
+        id: SessionId,
+        message: SessionMessage,
+        now: Ms,
+    ) {
+        let Some(server) = self.servers.get_mut(&server_id) else { return };
+        let up = server
+            .connections
+            .iter()
+            .find(|other| self.server_connections.get(other).is_some_and(|c| c.up))
+            .copied();
         match up {
-            Some(conn) => self.write_to_server(conn, id, what, now),
+            Some(conn) => self.write_to_server(conn, id, message, now),
             None => {
-                s.unsent.insert(id, what);
-                self.keep_up(server, now);
+                server.unsent.insert(id, message);
+                self.ensure_connection(server_id, now);
             }
         }
     }
 
-    pub(super) fn write_to_server(&mut self, conn: ConnectionId, id: SessionId, what: Unsent, now: Ms) {
-        let bytes = match what {
-            Unsent::Rung(rung) => server::rung_request(id.0, rung),
-            Unsent::Release => server::release_request(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
+    pub(super) fn write_to_server(
+        &mut self,
+        conn: ConnectionId,
+        id: SessionId,
+        message: SessionMessage,
+        now: Ms,
+    ) {
+        let bytes = match message {
+            SessionMessage::Rung(rung) => server::rung_request(id.0, rung),
+            SessionMessage::Release => server::release_request(id.0, headers::RELEASE_CAUSE_WITHDRAWN),
         };
-        if let (Unsent::Release, Some(line)) = (what, self.lines.get_mut(&conn)) {
-            line.releases.retain(|(at, _)| now - at < limits::RELEASE_RETENTION);
-            line.releases.truncate(limits::MAX_PENDING_RELEASES - 1);
-            line.releases.push_back((now, id));
+        if let (SessionMessage::Release, Some(connection)) = (message, self.server_connections.get_mut(&conn))
+        {
+            connection.unconfirmed_releases.retain(|(at, _)| now - at < limits::RELEASE_RETENTION);
+            connection.unconfirmed_releases.truncate(limits::MAX_PENDING_RELEASES - 1);
+            connection.unconfirmed_releases.push_back((now, id));
         }
-        self.dos.push(IoAction::Write { conn, bytes });
+        self.io_actions.push(IoAction::Write { conn, bytes });
     }
 
-    pub(super) fn rung(&mut self, id: SessionId, rung: u8) {
-        let Some(Stage::Stands { server, .. }) = self.sess.get(&id).map(|s| &s.stage) else { return };
-        let (server, now) = (*server, self.clock);
-        self.tell_server(server, id, Unsent::Rung(rung), now);
+    pub(super) fn set_rung(&mut self, id: SessionId, rung: u8) {
+        let Some(Stage::Playing { server, .. }) = self.sessions.get(&id).map(|s| &s.stage) else { return };
+        let (server_id, now) = (*server, self.last_call_at);
+        self.send_to_server(server_id, id, SessionMessage::Rung(rung), now);
     }
 
-    pub(super) fn probe(&mut self, server: ServerId, now: Ms) {
-        let Some(s) = self.servers.get(&server) else { return };
-        let load = |c: &ConnectionId| self.lines.get(c).map_or((true, usize::MAX), |l| (!l.up, l.out.len()));
-        let conn = match s.lines.iter().copied().min_by_key(load) {
+    /// Sends a probe, or queues it on a connection that is being opened.
+    pub(super) fn probe(&mut self, server_id: ServerId, now: Ms) {
+        let Some(server) = self.servers.get(&server_id) else { return };
+        let load = |conn: &ConnectionId| {
+            self.server_connections.get(conn).map_or((true, usize::MAX), |c| (!c.up, c.pending_setups.len()))
+        };
+        let conn = match server.connections.iter().copied().min_by_key(load) {
             Some(conn) => Some(conn),
-            None => self.connect(server, now),
+            None => self.connect(server_id, now),
+        };
+        let Some((conn, connection)) = conn.and_then(|c| Some((c, self.server_connections.get_mut(&c)?)))
+        else {
+            return;
         };
-        let Some((conn, line)) = conn.and_then(|c| Some((c, self.lines.get_mut(&c)?))) else { return };
-        if line.up {
-            self.test(conn, Test::Probe, now);
+        if connection.up {
+            self.send_options(conn, OptionsPurpose::Probe, now);
         } else {
-            line.probes += 1;
+            connection.queued_probes += 1;
         }
     }
 
-    pub(super) fn test(&mut self, conn: ConnectionId, what: Test, now: Ms) {
+    pub(super) fn send_options(&mut self, conn: ConnectionId, purpose: OptionsPurpose, now: Ms) {
         let id = self.rng.u64(..);
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        line.tests.insert(id, what);
-        let (wait, bytes) = match what {
-            Test::Probe => (self.told.probe_timeout_ms, server::load_probe_request(id)),
-            Test::There => (limits::PING_TIMEOUT, server::ping_request(id)),
+        let Some(connection) = self.server_connections.get_mut(&conn) else { return };
+        connection.pending_options.insert(id, purpose);
+        let (timeout, bytes) = match purpose {
+            OptionsPurpose::Probe => (self.configuration.probe_timeout_ms, server::load_probe_request(id)),
+            OptionsPurpose::Ping => (limits::PING_TIMEOUT, server::ping_request(id)),
         };
-        self.timers.set(now + wait, Due::Test { conn, id });
-        self.dos.push(IoAction::Write { conn, bytes });
+        self.timers.set(now + timeout, TimerEvent::OptionsTimeout { conn, id });
+        self.io_actions.push(IoAction::Write { conn, bytes });
     }
 
-    /// A test was not answered in time. Where it was to tell whether the server is there, a new connection is.
-    pub(super) fn test_due(&mut self, conn: ConnectionId, id: u64, now: Ms) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        let server = line.server;
-        match line.tests.remove(&id) {
-            Some(Test::Probe) => self.desk.probed(server, SetupOutcome::TimedOut, now),
-            Some(Test::There)
-                if self.servers.get(&server).is_some_and(|s| now - s.heard > limits::PING_AFTER_SILENCE) =>
+    /// Handles an OPTIONS request without an answer in time. After a ping, a new connection shows whether the
+    /// server is alive.
+    pub(super) fn options_timed_out(&mut self, conn: ConnectionId, id: u64, now: Ms) {
+        let Some(connection) = self.server_connections.get_mut(&conn) else { return };
+        let server_id = connection.server;
+        match connection.pending_options.remove(&id) {
+            Some(OptionsPurpose::Probe) => self.desk.probed(server_id, SetupOutcome::TimedOut, now),
+            Some(OptionsPurpose::Ping)
+                if self
+                    .servers
+                    .get(&server_id)
+                    .is_some_and(|s| now - s.last_seen_at > limits::PING_AFTER_SILENCE) =>
             {
-                self.connect(server, now);
+                self.connect(server_id, now);
             }
             _ => {}
         }
--- a/crates/node/src/core/server_list.rs
+++ b/crates/node/src/core/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers, followed by questions to the name service.
+//! The list of servers, kept up to date by queries to the name service.
 use super::server_connections::Server;
 use super::Node;
 use crate::actions::{ConnectionId, IoAction};
@@ -12,139 +12,143 @@
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::{discovery, ServerRecord};
 
-pub(super) struct Names {
+pub(super) struct NameService {
     address: SocketAddr,
-    /// Number of the last change that was heard.
+    /// Serial number of the list in force.
     serial: u32,
-    /// Ids of questions that may still be answered.
-    asked: VecDeque<u16>,
-    /// Since when, and how often in a row, nothing but lower numbers was told.
-    lower: Option<(Ms, u32)>,
+    /// Ids of queries that may still be answered.
+    open_queries: VecDeque<u16>,
+    /// When answers with lower serial numbers began to come, and how many have come in a row.
+    lower_serials: Option<(Ms, u32)>,
 }
 
-impl Names {
+impl NameService {
     pub fn new(address: SocketAddr, serial: u32) -> Self {
-        Names { address, serial, asked: VecDeque::new(), lower: None }
+        NameService { address, serial, open_queries: VecDeque::new(), lower_serials: None }
     }
 }
 
-impl Names {
-    /// Whether what is told under this number counts. One told in place of a newer one by mistake is passed
-    /// over; where nothing else comes for long, the service has begun its numbers anew.
+impl NameService {
+    /// Whether the list with this serial number is to replace the one in force. A lower number is normally an
+    /// older list served by mistake; if nothing else comes for some time, the service has begun to number
+    /// anew.
     fn is_newer(&mut self, serial: u32, now: Ms) -> bool {
         if serial >= self.serial {
-            self.lower = None;
+            self.lower_serials = None;
             return serial > self.serial;
         }
-        let (since, times) = self.lower.get_or_insert((now, 0));
-        *times += 1;
-        let anew = now - *since >= limits::SERIAL_RESET_TIME && *times >= limits::SERIAL_RESET_ANSWERS;
-        if anew {
-            self.lower = None;
+        let (since, count) = self.lower_serials.get_or_insert((now, 0));
+        *count += 1;
+        let renumbered = now - *since >= limits::SERIAL_RESET_TIME && *count >= limits::SERIAL_RESET_ANSWERS;
+        if renumbered {
+            self.lower_serials = None;
         }
-        anew
+        renumbered
     }
 }
 
 impl Node {
-    /// Asks for the list; a lost answer is made up for by the next question.
-    pub(super) fn ask_list(&mut self) {
+    /// Queries the name service for the list. If the answer is lost, the next query makes up for it.
+    pub(super) fn request_list(&mut self) {
         let id = self.rng.u16(..);
-        if self.names.asked.len() >= limits::MAX_OPEN_LIST_QUERIES {
-            self.names.asked.pop_front();
+        if self.name_service.open_queries.len() >= limits::MAX_OPEN_LIST_QUERIES {
+            self.name_service.open_queries.pop_front();
         }
-        self.names.asked.push_back(id);
-        self.dos.push(IoAction::SendListQuery { to: self.names.address, bytes: discovery::encode_query(id) });
+        self.name_service.open_queries.push_back(id);
+        self.io_actions.push(IoAction::SendListQuery {
+            to: self.name_service.address,
+            bytes: discovery::encode_query(id),
+        });
     }
 
-    /// A datagram that came from there. What is not a good answer to one of the last questions, or is older than
-    /// what is known, is passed over.
+    /// Handles a datagram from `from`. Anything but a valid answer to one of the last queries is ignored, and
+    /// so is a list older than the one in force.
     pub fn name_service_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Ms) {
-        if from != self.names.address || bytes.len() < 2 {
+        if from != self.name_service.address || bytes.len() < 2 {
             return;
         }
         let id = u16::from_be_bytes([bytes[0], bytes[1]]);
-        let Some(at) = self.names.asked.iter().position(|a| *a == id) else { return };
+        let Some(at) = self.name_service.open_queries.iter().position(|q| *q == id) else { return };
         let Ok(answer) = discovery::parse_answer(bytes, id) else { return };
-        self.names.asked.remove(at);
-        if self.names.is_newer(answer.serial, now) {
-            self.names.serial = answer.serial;
-            self.listed(answer.servers, now);
-            self.settle(now);
+        self.name_service.open_queries.remove(at);
+        if self.name_service.is_newer(answer.serial, now) {
+            self.name_service.serial = answer.serial;
+            self.replace_server_list(answer.servers, now);
+            self.process_desk_actions(now);
         }
     }
 
-    /// A new configuration, of which the name service's address and the list count. One that changes more
-    /// than that is left alone as a whole: what stands in the settings by position holds for the sessions in
-    /// hand.
-    pub fn apply_configuration(&mut self, told: Configuration, now: Ms) {
-        let differs = self.told.changes_requiring_restart(&told);
-        if !differs.is_empty() {
-            let (first, more) = (&differs[..differs.len().min(limits::MAX_LOGGED_PATHS)], differs.len());
-            return self.dos.push(IoAction::Log(format!(
-                "the configuration stays as it was, a restart takes up what changed: paths={more} {}",
+    /// Applies a new configuration, of which only the name service's address and the list of servers may
+    /// differ. Any other change is rejected as a whole: open sessions refer to the settings by position.
+    pub fn apply_configuration(&mut self, new: Configuration, now: Ms) {
+        let changes = self.configuration.changes_requiring_restart(&new);
+        if !changes.is_empty() {
+            let (first, count) = (&changes[..changes.len().min(limits::MAX_LOGGED_PATHS)], changes.len());
+            return self.io_actions.push(IoAction::Log(format!(
+                "the configuration stays as it was, a restart takes up what changed: paths={count} {}",
                 first.join(" ")
             )));
         }
-        self.names.address = told.name_service;
-        self.names.asked.clear();
-        self.names.lower = None;
-        if told.server_list_serial > self.names.serial {
-            self.names.serial = told.server_list_serial;
-            self.listed(told.servers, now);
+        self.name_service.address = new.name_service;
+        self.name_service.open_queries.clear();
+        self.name_service.lower_serials = None;
+        if new.server_list_serial > self.name_service.serial {
+            self.name_service.serial = new.server_list_serial;
+            self.replace_server_list(new.servers, now);
         }
-        // The questions at intervals go on by themselves.
-        self.ask_list();
-        self.settle(now);
+        // In addition to the periodic queries, which go on.
+        self.request_list();
+        self.process_desk_actions(now);
     }
 
-    /// The whole list.
-    pub(super) fn listed(&mut self, lines: Vec<ServerRecord>, now: Ms) {
-        let mut there = BTreeSet::new();
-        let mut listed = Vec::new();
-        for n in self.zones_told..self.told.zones.len() {
-            let name = &self.told.zones[n];
-            let fleet = self.desk.front.fleet.servers.values();
-            let used = fleet.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == n);
-            if !used && lines.iter().all(|l| l.zone != *name) {
-                self.told.zones[n] = String::new();
+    /// Replaces the whole list of servers.
+    pub(super) fn replace_server_list(&mut self, records: Vec<ServerRecord>, now: Ms) {
+        let mut listed_ids = BTreeSet::new();
+        let mut entries = Vec::new();
+        for n in self.configured_zone_count..self.configuration.zones.len() {
+            let name = &self.configuration.zones[n];
+            let known_servers = self.desk.front.fleet.servers.values();
+            let in_use = known_servers.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == n);
+            if !in_use && records.iter().all(|r| r.zone != *name) {
+                self.configuration.zones[n] = String::new();
             }
         }
-        for line in lines {
-            let id = self.server_id(&line, now);
-            there.insert(id);
-            let zone = self.zone(&line.zone);
-            let kind = self.told.kinds.iter().position(|k| *k == line.kind).unwrap_or(usize::MAX);
-            listed.push(ListEntry {
+        for record in records {
+            let id = self.update_server(&record, now);
+            listed_ids.insert(id);
+            let zone = self.zone_index(&record.zone);
+            let kind = self.configuration.kinds.iter().position(|k| *k == record.kind).unwrap_or(usize::MAX);
+            entries.push(ListEntry {
                 id,
                 zone,
                 kind: KindIndex(u8::try_from(kind).unwrap_or(u8::MAX)),
-                cell: CellId(line.cell),
-                state: if line.draining { ServerState::Draining } else { ServerState::Ready },
-                weight: line.weight,
-                started_at: line.started_unix_ms,
+                cell: CellId(record.cell),
+                state: if record.draining { ServerState::Draining } else { ServerState::Ready },
+                weight: record.weight,
+                started_at: record.started_unix_ms,
             });
         }
-        let gone: Vec<ServerId> = self.servers.keys().filter(|id| !there.contains(id)).copied().collect();
+        let gone: Vec<ServerId> =
+            self.servers.keys().filter(|id| !listed_ids.contains(id)).copied().collect();
         for id in gone {
             let Some(s) = self.servers.get_mut(&id) else { continue };
-            s.listing = ServerState::Gone;
-            // With no connection left, nothing will ever tell of what stood there.
-            if s.lines.is_empty() {
-                self.cut(id, now);
+            s.list_state = ServerState::Gone;
+            // Without a connection, the ends of its sessions would never be reported.
+            if s.connections.is_empty() {
+                self.end_all_sessions(id, now);
             }
         }
-        self.desk.listed_all(listed);
-        self.call_back(now);
+        self.desk.listed_all(entries);
+        self.cancel_unsent_setups(now);
     }
 
-    /// A zone's number. One that the settings do not name is one of its own: taken for another one, what may
-    /// only be repeated within a zone would be repeated elsewhere. Its number is free again once no server is
-    /// left there.
-    fn zone(&mut self, name: &str) -> ZoneIndex {
-        let zones = &mut self.told.zones;
+    /// Returns the index of a zone. A zone that the settings do not name gets one of its own: under another
+    /// zone's index, retries that have to stay within a zone could leave it. The index is reused once no
+    /// server is left in the zone.
+    fn zone_index(&mut self, name: &str) -> ZoneIndex {
+        let zones = &mut self.configuration.zones;
         let at = zones.iter().position(|z| *z == name).unwrap_or_else(|| {
-            let free = (self.zones_told..zones.len()).find(|n| zones[*n].is_empty());
+            let free = (self.configured_zone_count..zones.len()).find(|n| zones[*n].is_empty());
             let at = free.unwrap_or(zones.len());
             zones.resize_with(zones.len().max(at + 1), String::new);
             zones[at] = name.to_owned();
@@ -153,69 +157,70 @@
         ZoneIndex(u16::try_from(at).unwrap_or(u16::MAX))
     }
 
-    /// SETUPs that wait for a connection to a server that takes nothing new any more never leave.
-    fn call_back(&mut self, now: Ms) {
-        let ready = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.listing == ServerState::Ready);
-        let opening = self.lines.values_mut().filter(|l| !l.up && !ready(&l.server));
-        let waiting: Vec<SessionId> = opening.flat_map(|l| std::mem::take(&mut l.out)).collect();
+    /// Ends the SETUPs that wait for a connection to a server that no longer accepts new sessions.
+    fn cancel_unsent_setups(&mut self, now: Ms) {
+        let ready = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.list_state == ServerState::Ready);
+        let opening = self.server_connections.values_mut().filter(|c| !c.up && !ready(&c.server));
+        let waiting: Vec<SessionId> = opening.flat_map(|c| std::mem::take(&mut c.pending_setups)).collect();
         waiting.into_iter().for_each(|id| self.setup_ended(id, SetupOutcome::NeverSent, now));
     }
 
-    /// The server of a line of the list, as it is told now. An id is not an address: another process, or another
-    /// address under the same id, shares nothing with what was known.
-    fn server_id(&mut self, line: &ServerRecord, now: Ms) -> ServerId {
-        let listing = if line.draining { ServerState::Draining } else { ServerState::Ready };
-        if let Some(id) = self.by_name.get(&line.name).copied() {
+    /// Updates or adds the server of a record of the list, and returns its id. If its process or its address
+    /// has changed, nothing known of the server before applies any more.
+    fn update_server(&mut self, record: &ServerRecord, now: Ms) -> ServerId {
+        let list_state = if record.draining { ServerState::Draining } else { ServerState::Ready };
+        if let Some(id) = self.servers_by_name.get(&record.name).copied() {
             let Some(s) = self.servers.get_mut(&id) else { return id };
-            s.listing = listing;
-            if s.address != line.address || s.started != line.started_unix_ms {
-                // A new process at the old address is often met before the list tells of it, seconds late: what was
-                // opened and set up there since its start is its own.
-                let since = if s.address == line.address { line.started_unix_ms } else { None };
+            s.list_state = list_state;
+            if s.address != record.address || s.started_at != record.started_unix_ms {
+                // A new process at the same address often accepts connections seconds before the list reports
+                // it: connections and sessions begun since its start are its own.
+                let since = if s.address == record.address { record.started_unix_ms } else { None };
                 let since = since.unwrap_or(Ms::INFINITY);
-                (s.address, s.started) = (line.address, line.started_unix_ms);
-                let lines = s.lines.iter().copied();
-                let old = lines.filter(|c| self.lines.get(c).is_none_or(|l| l.opened < since));
+                (s.address, s.started_at) = (record.address, record.started_unix_ms);
+                let connections = s.connections.iter().copied();
+                let old = connections
+                    .filter(|conn| self.server_connections.get(conn).is_none_or(|c| c.opened_at < since));
                 let old: Vec<ConnectionId> = old.collect();
-                self.cut_before(id, since, now);
-                old.into_iter().for_each(|conn| self.close_line(conn, now));
+                self.end_sessions_before(id, since, now);
+                old.into_iter().for_each(|conn| self.close_server_connection(conn, now));
             }
             return id;
         }
-        self.next_server += 1;
-        let id = ServerId(self.next_server);
-        self.by_name.insert(line.name.clone(), id);
+        self.last_server_id += 1;
+        let id = ServerId(self.last_server_id);
+        self.servers_by_name.insert(record.name.clone(), id);
         let server = Server {
-            name: line.name.clone(),
-            address: line.address,
-            listing,
-            started: line.started_unix_ms,
-            lines: Vec::new(),
-            standing: BTreeSet::new(),
+            name: record.name.clone(),
+            address: record.address,
+            list_state,
+            started_at: record.started_unix_ms,
+            connections: Vec::new(),
+            sessions: BTreeSet::new(),
             unsent: BTreeMap::new(),
-            heard: now,
-            said: Ms::NEG_INFINITY,
-            process: now,
-            broke: Ms::NEG_INFINITY,
-            parted: Ms::NEG_INFINITY,
-            fails: 0,
+            last_seen_at: now,
+            last_message_at: Ms::NEG_INFINITY,
+            process_known_since: now,
+            last_disconnect_at: Ms::NEG_INFINITY,
+            closed_for_room_at: Ms::NEG_INFINITY,
+            connect_failures: 0,
             retry: Retry::default(),
         };
         self.servers.insert(id, server);
         id
     }
 
-    /// Servers gone from the list that nothing refers to any more are forgotten.
-    pub(super) fn forget(&mut self) {
-        let Node { servers, by_name, desk, .. } = self;
+    /// Removes servers that are no longer listed once nothing refers to them.
+    pub(super) fn remove_unused_servers(&mut self) {
+        let Node { servers, servers_by_name, desk, .. } = self;
         let in_use: BTreeSet<ServerId> = desk.hand.sessions.values().filter_map(|s| s.server).collect();
         servers.retain(|id, s| {
-            let keep = s.listing != ServerState::Gone
-                || !s.lines.is_empty()
-                || !s.standing.is_empty()
+            let keep = s.list_state != ServerState::Gone
+                || !s.connections.is_empty()
+                || !s.sessions.is_empty()
                 || in_use.contains(id);
             if !keep {
-                by_name.remove(&s.name);
+                servers_by_name.remove(&s.name);
                 desk.front.fleet.servers.remove(id);
             }
             keep
--- a/crates/node/src/core/server_messages.rs
+++ b/crates/node/src/core/server_messages.rs
@@ -1,5 +1,5 @@
-//! What servers say, and what follows from it.
-use super::server_connections::{Test, Unsent};
+//! Handling of messages from servers.
+use super::server_connections::{OptionsPurpose, SessionMessage};
 use super::{Node, Session, Stage};
 use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
@@ -10,182 +10,209 @@
 use walnutline_platform::viewer;
 
 impl Node {
-    pub(super) fn server_bytes(&mut self, conn: ConnectionId, bytes: &[u8], now: Ms) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        let server = line.server;
-        line.reader.push(bytes);
-        line.used = now;
-        let opened = line.opened;
-        if let Some(s) = self.servers.get_mut(&server) {
-            (s.heard, s.said, s.process) = (now, now, opened);
-            // A connection of before, on which something comes long after: what looked like an end was none.
-            if opened < s.broke && now - s.broke > limits::MAX_DELIVERY_DELAY {
-                self.desk.lives(server, opened);
+    pub(super) fn server_bytes_received(&mut self, conn: ConnectionId, bytes: &[u8], now: Ms) {
+        let Some(connection) = self.server_connections.get_mut(&conn) else { return };
+        let server_id = connection.server;
+        connection.reader.push(bytes);
+        connection.last_used_at = now;
+        let opened_at = connection.opened_at;
+        if let Some(s) = self.servers.get_mut(&server_id) {
+            (s.last_seen_at, s.last_message_at, s.process_known_since) = (now, now, opened_at);
+            // Input long after the last disconnect, on a connection opened before it: the process hasn't
+            // ended.
+            if opened_at < s.last_disconnect_at && now - s.last_disconnect_at > limits::MAX_DELIVERY_DELAY {
+                self.desk.lives(server_id, opened_at);
             }
         }
         loop {
-            let Some(line) = self.lines.get_mut(&conn) else { return };
-            match line.reader.next_message() {
+            let Some(connection) = self.server_connections.get_mut(&conn) else { return };
+            match connection.reader.next_message() {
                 Ok(Some(message)) => {
-                    line.partial = None;
-                    self.server_said(conn, server, server::parse_message(message), now);
+                    connection.partial_since = None;
+                    self.handle_server_message(conn, server_id, server::parse_message(message), now);
                 }
                 Ok(None) => {
-                    line.partial = line.reader.has_partial_message().then(|| line.partial.unwrap_or(now));
+                    connection.partial_since = connection
+                        .reader
+                        .has_partial_message()
+                        .then(|| connection.partial_since.unwrap_or(now));
                     return;
                 }
                 Err(bad) => {
-                    let name = self.servers.get(&server).map_or("", |s| &s.name);
-                    self.dos.push(IoAction::Log(format!("server {name}: {bad}; connection closed")));
-                    return self.close_line(conn, now);
+                    let name = self.servers.get(&server_id).map_or("", |s| &s.name);
+                    self.io_actions.push(IoAction::Log(format!("server {name}: {bad}; connection closed")));
+                    return self.close_server_connection(conn, now);
                 }
             }
         }
     }
 
-    fn server_said(&mut self, conn: ConnectionId, server: ServerId, said: ServerMessage, now: Ms) {
-        match said {
+    fn handle_server_message(
+        &mut self,
+        conn: ConnectionId,
+        server_id: ServerId,
+        message: ServerMessage,
+        now: Ms,
+    ) {
+        match message {
             ServerMessage::SetupResponse { id, status, description, report } => {
-                self.reported(server, &report, now);
-                self.setup_answered(conn, server, SessionId(id), status, &description, now);
+                self.record_report(server_id, &report, now);
+                self.handle_setup_response(conn, server_id, SessionId(id), status, &description, now);
             }
             ServerMessage::OptionsResponse { id, status, report } => {
-                let what = self.lines.get_mut(&conn).and_then(|l| l.tests.remove(&id));
-                self.reported(server, &report, now);
-                if what == Some(Test::Probe) {
-                    let ending = if status < 300 { SetupOutcome::Done } else { SetupOutcome::Errored };
-                    self.desk.probed(server, ending, now);
+                let purpose =
+                    self.server_connections.get_mut(&conn).and_then(|c| c.pending_options.remove(&id));
+                self.record_report(server_id, &report, now);
+                if purpose == Some(OptionsPurpose::Probe) {
+                    let outcome = if status < 300 { SetupOutcome::Done } else { SetupOutcome::Errored };
+                    self.desk.probed(server_id, outcome, now);
                 }
             }
             ServerMessage::Teardown { id, cause, cseq, report } => {
-                self.dos.push(IoAction::Write { conn, bytes: server::teardown_response(id, cseq) });
-                self.reported(server, &report, now);
-                self.released(conn, server, SessionId(id), cause, now);
+                self.io_actions.push(IoAction::Write { conn, bytes: server::teardown_response(id, cseq) });
+                self.record_report(server_id, &report, now);
+                self.handle_server_teardown(conn, server_id, SessionId(id), cause, now);
             }
-            ServerMessage::Announcement { id, quantity: note, value: figure } => {
-                let here = |s: &Session| matches!(s.stage, Stage::Stands { server: at, .. } if at == server);
-                if self.sess.get(&SessionId(id)).is_none_or(|s| !here(s)) {
-                    return self.early_note(SessionId(id), note, figure, now);
+            ServerMessage::Announcement { id, quantity, value } => {
+                let plays_there =
+                    |s: &Session| matches!(s.stage, Stage::Playing { server: at, .. } if at == server_id);
+                if self.sessions.get(&SessionId(id)).is_none_or(|s| !plays_there(s)) {
+                    return self.record_early_rung(SessionId(id), quantity, value, now);
                 }
-                match note {
-                    Quantity::DeliveredShare => self.desk.share_heard(server, figure, now),
-                    Quantity::Rung => self.desk.rung_told(SessionId(id), figure.clamp(0.0, 255.0) as u8),
-                    Quantity::LinkUse => self.desk.link_heard(server, figure, now),
-                    Quantity::UplinkUse => self.desk.uplink_heard(server, figure, now),
+                match quantity {
+                    Quantity::DeliveredShare => self.desk.share_heard(server_id, value, now),
+                    Quantity::Rung => self.desk.rung_told(SessionId(id), value.clamp(0.0, 255.0) as u8),
+                    Quantity::LinkUse => self.desk.link_heard(server_id, value, now),
+                    Quantity::UplinkUse => self.desk.uplink_heard(server_id, value, now),
                 }
             }
             ServerMessage::TeardownResponse { id } => {
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.releases.retain(|(_, told)| told.0 != id);
+                if let Some(connection) = self.server_connections.get_mut(&conn) {
+                    connection.unconfirmed_releases.retain(|(_, released)| released.0 != id);
                 }
             }
             ServerMessage::Ignored => {}
         }
     }
 
-    /// A rung told of a session that is not known: when a node starts, it may be handed over next.
-    fn early_note(&mut self, id: SessionId, note: Quantity, figure: f64, now: Ms) {
-        if note == Quantity::Rung && self.is_early(id, self.early_rungs.len(), now) {
-            self.early_rungs.insert(id, figure.clamp(0.0, 255.0) as u8);
+    /// Keeps the rung of an unknown session: shortly after the start, its hand-over may still come.
+    fn record_early_rung(&mut self, id: SessionId, quantity: Quantity, value: f64, now: Ms) {
+        if quantity == Quantity::Rung && self.is_early(id, self.early_rungs.len(), now) {
+            self.early_rungs.insert(id, value.clamp(0.0, 255.0) as u8);
         }
     }
 
-    fn is_early(&self, id: SessionId, kept: usize, now: Ms) -> bool {
+    /// Whether a message about this session is to be kept, with `kept_count` kept already.
+    fn is_early(&self, id: SessionId, kept_count: usize, now: Ms) -> bool {
         let early = now - self.desk.front.started_at < limits::EARLY_MESSAGE_PERIOD
-            && kept < limits::MAX_EARLY_MESSAGES;
-        early && !self.sess.contains_key(&id)
+            && kept_count < limits::MAX_EARLY_MESSAGES;
+        early && !self.sessions.contains_key(&id)
     }
 
-    /// A report's figures, in the order that the settings name them.
-    fn reported(&mut self, server: ServerId, report: &LoadReport, now: Ms) {
+    /// Passes a load report to the desk, as values in the order of the configured columns.
+    fn record_report(&mut self, server_id: ServerId, report: &LoadReport, now: Ms) {
         if !report.is_empty() {
-            let value = |c: &String| report.iter().find(|(name, _)| name == c).map_or(f64::NAN, |(_, v)| *v);
-            let values: Vec<f64> = self.told.report_columns.iter().map(value).collect();
-            self.desk.report(server, &values, now);
+            let value = |column: &String| {
+                report.iter().find(|(name, _)| name == column).map_or(f64::NAN, |(_, v)| *v)
+            };
+            let values: Vec<f64> = self.configuration.report_columns.iter().map(value).collect();
+            self.desk.report(server_id, &values, now);
         }
     }
 
-    fn setup_answered(
+    fn handle_setup_response(
         &mut self,
         conn: ConnectionId,
-        server: ServerId,
+        server_id: ServerId,
         id: SessionId,
         status: u16,
         description: &[u8],
         now: Ms,
     ) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        if !line.out.remove(&id) {
-            let over = line.given_up.iter().position(|g| *g == id);
-            let here = match self.sess.get(&id).map(|s| &s.stage) {
-                Some(Stage::Stands { server: at, .. }) => *at == server,
-                Some(Stage::Asked { out: Some(out), .. }) => out.server == server,
+        let Some(connection) = self.server_connections.get_mut(&conn) else { return };
+        if !connection.pending_setups.remove(&id) {
+            let ended = connection.ended_setups.iter().position(|e| *e == id);
+            let wanted_there = match self.sessions.get(&id).map(|s| &s.stage) {
+                Some(Stage::Playing { server, .. }) => *server == server_id,
+                Some(Stage::Pending { setup: Some(setup), .. }) => setup.server == server_id,
                 _ => false,
             };
-            if let Some(at) = over.filter(|_| status < 300) {
-                line.given_up.remove(at);
-                // It stands there after all, and nobody waits for it; or it was taken there by a later SETUP.
-                if !here {
-                    self.write_to_server(conn, id, Unsent::Release, now);
+            if let Some(at) = ended.filter(|_| status < 300) {
+                connection.ended_setups.remove(at);
+                // The cancelled SETUP succeeded after all: the session is released, unless a later SETUP has
+                // placed it or may yet place it on the same server.
+                if !wanted_there {
+                    self.write_to_server(conn, id, SessionMessage::Release, now);
                 }
             }
             return;
         }
         if status >= 300 {
-            line.is_over(id);
-            let ending = match status {
+            connection.record_ended_setup(id);
+            let outcome = match status {
                 453 => SetupOutcome::BusyReplied,
                 454 => SetupOutcome::NeverSent,
                 504 => SetupOutcome::Broken,
                 _ => SetupOutcome::Errored,
             };
-            return self.setup_ended(id, ending, now);
+            return self.setup_ended(id, outcome, now);
         }
-        let Some(sess) = self.sess.get_mut(&id) else { return };
-        let Stage::Asked { from, .. } = sess.stage else { return };
-        sess.stage = Stage::Stands { from: Some(from), server, since: now };
-        self.ledger.answered += 1;
-        if let Some(s) = self.servers.get_mut(&server) {
-            s.standing.insert(id);
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Stage::Pending { viewer_conn, .. } = session.stage else { return };
+        session.stage = Stage::Playing { viewer_conn: Some(viewer_conn), server: server_id, since: now };
+        self.request_counts.answered += 1;
+        if let Some(s) = self.servers.get_mut(&server_id) {
+            s.sessions.insert(id);
         }
-        if let Some(v) = self.viewers.get_mut(&from) {
-            v.open.remove(&id);
-            v.used = now;
+        if let Some(viewer) = self.viewers.get_mut(&viewer_conn) {
+            viewer.open_setups.remove(&id);
+            viewer.last_used_at = now;
         }
-        self.dos.push(IoAction::Write { conn: from, bytes: viewer::setup_response(id.0, description) });
+        self.io_actions
+            .push(IoAction::Write { conn: viewer_conn, bytes: viewer::setup_response(id.0, description) });
         self.desk.started(id, now);
     }
 
-    /// A server tells that a session is over, or that a set-up broke. It may tell so more than once.
-    fn released(&mut self, conn: ConnectionId, server: ServerId, id: SessionId, cause: Option<u32>, now: Ms) {
-        match self.sess.get(&id).map(|s| &s.stage) {
-            Some(Stage::Stands { server: at, since, .. }) if *at == server => match cause {
+    /// Handles a server's report that a session has ended or that a set-up failed. It may come more than
+    /// once.
+    fn handle_server_teardown(
+        &mut self,
+        conn: ConnectionId,
+        server_id: ServerId,
+        id: SessionId,
+        cause: Option<u32>,
+        now: Ms,
+    ) {
+        match self.sessions.get(&id).map(|s| &s.stage) {
+            Some(Stage::Playing { server, since, .. }) if *server == server_id => match cause {
                 Some(headers::RELEASE_CAUSE_ENDED) => {
-                    self.over(id, SetupOutcome::Done, Some(headers::RELEASE_CAUSE_ENDED), now)
+                    self.end_session(id, SetupOutcome::Done, Some(headers::RELEASE_CAUSE_ENDED), now)
                 }
                 Some(headers::RELEASE_CAUSE_WITHDRAWN) => {
-                    let after = now - since;
-                    if after < limits::IMMEDIATE_TEARDOWN {
-                        let said = format!(
-                            "session {:016x} ended by its viewer {after:.2} ms after its answer",
+                    let after_ms = now - since;
+                    if after_ms < limits::IMMEDIATE_TEARDOWN {
+                        let line = format!(
+                            "session {:016x} ended by its viewer {after_ms:.2} ms after its answer",
                             id.0
                         );
-                        self.dos.push(IoAction::Log(said));
+                        self.io_actions.push(IoAction::Log(line));
                     }
-                    self.over(id, SetupOutcome::Withdrawn, None, now);
+                    self.end_session(id, SetupOutcome::Withdrawn, None, now);
+                }
+                _ => {
+                    self.end_session(id, SetupOutcome::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now)
                 }
-                _ => self.over(id, SetupOutcome::Broken, Some(headers::RELEASE_CAUSE_INTERRUPTED), now),
             },
-            Some(Stage::Asked { out: Some(out), .. }) if out.line == conn => {
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.out.remove(&id);
-                    line.is_over(id);
+            Some(Stage::Pending { setup: Some(setup), .. }) if setup.conn == conn => {
+                if let Some(connection) = self.server_connections.get_mut(&conn) {
+                    connection.pending_setups.remove(&id);
+                    connection.record_ended_setup(id);
                 }
                 self.setup_ended(id, SetupOutcome::Broken, now);
             }
-            // It may be handed over next.
+            // The session's hand-over may still come.
             _ if self.is_early(id, self.early_ends.len(), now) => {
-                self.early_ends.insert(id, (server, cause));
+                self.early_ends.insert(id, (server_id, cause));
             }
             _ => {}
         }
--- a/crates/node/src/core/viewer_connections.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -1,6 +1,6 @@
-//! What viewers send and are owed.
-use super::server_connections::Unsent;
-use super::{Node, Owed, Session, Stage};
+//! Viewers' connections: their messages, the answers to them, and releases of sessions.
+use super::server_connections::SessionMessage;
+use super::{Node, PendingRelease, Session, Stage};
 use crate::actions::{ConnectionId, IoAction};
 use crate::limits;
 use std::collections::{BTreeSet, VecDeque};
@@ -12,336 +12,376 @@
 
 pub(super) struct Viewer {
     pub reader: MessageReader,
-    pub since: Ms,
-    /// When something whole was last read or its last set-up was answered.
-    pub used: Ms,
-    /// When a message began that is not whole.
-    pub partial: Option<Ms>,
-    /// Whether it has brought a set-up that could be taken.
-    pub good: bool,
-    pub spoke: bool,
-    /// When it last turned out that it can't be closed yet.
-    pub stays: Ms,
-    /// Set-ups whose answers are owed here.
-    pub open: BTreeSet<SessionId>,
-    /// Releases written on it that were not heard: what is lost with it is told again.
-    pub releases: VecDeque<Owed>,
+    pub accepted_at: Ms,
+    /// When the last complete message was read or the last set-up was answered.
+    pub last_used_at: Ms,
+    /// When a message began that is not complete yet.
+    pub partial_since: Option<Ms>,
+    /// Whether it has brought a valid set-up.
+    pub has_sent_setup: bool,
+    pub has_sent_message: bool,
+    /// When the edge last declined to close it.
+    pub found_in_use_at: Ms,
+    /// Set-ups to be answered on it.
+    pub open_setups: BTreeSet<SessionId>,
+    /// Releases written but not confirmed: they are sent again if the connection is lost.
+    pub unconfirmed_releases: VecDeque<PendingRelease>,
 }
 
 impl Node {
-    /// A viewer's connection was taken in. At the most that are held, the one that can best be done without is
-    /// closed: one that never brought a set-up, then one idle for longest; one that has begun to ask comes last.
+    /// Handles a new connection of a viewer. At the limit, the connection that matters least is closed: one
+    /// that never brought a set-up, then the one idle for longest, and one with a message that has begun only
+    /// as the last resort.
     pub fn viewer_accepted(&mut self, conn: ConnectionId, now: Ms) {
-        let full = self.viewers.len() >= self.most_viewers && !self.retire_one(now);
-        if full && self.viewers.len() >= self.most_viewers + limits::EXTRA_VIEWER_CONNECTIONS {
-            return self.dos.push(IoAction::Close { conn });
+        let full = self.viewers.len() >= self.max_viewers && !self.close_least_used_viewer(now);
+        if full && self.viewers.len() >= self.max_viewers + limits::EXTRA_VIEWER_CONNECTIONS {
+            return self.io_actions.push(IoAction::Close { conn });
         }
         let viewer = Viewer {
             reader: MessageReader::default(),
-            since: now,
-            used: now,
-            partial: None,
-            good: false,
-            spoke: false,
-            stays: Ms::NEG_INFINITY,
-            open: BTreeSet::new(),
-            releases: VecDeque::new(),
+            accepted_at: now,
+            last_used_at: now,
+            partial_since: None,
+            has_sent_setup: false,
+            has_sent_message: false,
+            found_in_use_at: Ms::NEG_INFINITY,
+            open_setups: BTreeSet::new(),
+            unconfirmed_releases: VecDeque::new(),
         };
         self.viewers.insert(conn, viewer);
     }
 
-    /// Closes the connection that can best be done without, if there is one.
-    pub(super) fn retire_one(&mut self, now: Ms) -> bool {
-        let idle =
-            self.viewers.iter().filter(|(_, v)| v.open.is_empty() && now - v.stays >= limits::SWEEP_INTERVAL);
-        let rank = |v: &Viewer| (v.partial.is_some(), v.good);
-        let victim = idle.min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then(a.used.total_cmp(&b.used)));
+    /// Asks the edge to close the connection that matters least, and returns whether there was one.
+    pub(super) fn close_least_used_viewer(&mut self, now: Ms) -> bool {
+        let idle = self
+            .viewers
+            .iter()
+            .filter(|(_, v)| v.open_setups.is_empty() && now - v.found_in_use_at >= limits::SWEEP_INTERVAL);
+        let rank = |v: &Viewer| (v.partial_since.is_some(), v.has_sent_setup);
+        let victim = idle
+            .min_by(|(_, a), (_, b)| rank(a).cmp(&rank(b)).then(a.last_used_at.total_cmp(&b.last_used_at)));
         let victim = victim.map(|(conn, _)| *conn);
-        victim.into_iter().for_each(|conn| self.dos.push(IoAction::CloseIfIdle { conn }));
+        victim.into_iter().for_each(|conn| self.io_actions.push(IoAction::CloseIfIdle { conn }));
         victim.is_some()
     }
 
-    /// A connection that was to be retired has something on its way: a set-up read and not yet heard would be
-    /// lost with it. Another one goes instead, where room is wanted.
+    /// Handles that a connection to be closed if idle has data on its way: a set-up received but not yet read
+    /// would be lost with it. At the limit, another one is closed instead.
     pub fn connection_in_use(&mut self, conn: ConnectionId, now: Ms) {
-        if let Some(v) = self.viewers.get_mut(&conn) {
-            v.stays = now;
+        if let Some(viewer) = self.viewers.get_mut(&conn) {
+            viewer.found_in_use_at = now;
         }
-        if self.viewers.len() > self.most_viewers {
-            self.retire_one(now);
+        if self.viewers.len() > self.max_viewers {
+            self.close_least_used_viewer(now);
         }
     }
 
-    pub(super) fn close_viewer(&mut self, conn: ConnectionId, now: Ms) {
-        self.dos.push(IoAction::Close { conn });
-        self.viewer_closed(conn, now);
+    pub(super) fn close_viewer_connection(&mut self, conn: ConnectionId, now: Ms) {
+        self.io_actions.push(IoAction::Close { conn });
+        self.viewer_connection_closed(conn, now);
     }
 
-    /// The set-ups open on a connection are given up with it.
-    pub(super) fn viewer_closed(&mut self, conn: ConnectionId, now: Ms) {
-        let Some(v) = self.viewers.remove(&conn) else { return };
-        if !v.open.is_empty() {
-            let (idle, partial) = (now - v.used, v.reader.has_partial_message());
-            self.dos.push(IoAction::Log(format!(
-                "viewer's connection {} ended open={} idle={idle:.0} partial={partial}",
+    /// Cancels the set-ups that were open on a connection, and sends its unconfirmed releases on another.
+    pub(super) fn viewer_connection_closed(&mut self, conn: ConnectionId, now: Ms) {
+        let Some(viewer) = self.viewers.remove(&conn) else { return };
+        if !viewer.open_setups.is_empty() {
+            let (idle_ms, partial) = (now - viewer.last_used_at, viewer.reader.has_partial_message());
+            self.io_actions.push(IoAction::Log(format!(
+                "viewer's connection {} ended open={} idle={idle_ms:.0} partial={partial}",
                 conn.0,
-                v.open.len()
+                viewer.open_setups.len()
             )));
         }
-        v.open.into_iter().for_each(|id| self.left(id, now));
-        if self.last_good == Some(conn) {
-            self.last_good = self.viewers.iter().rfind(|(_, v)| v.good).map(|(c, _)| *c);
+        viewer.open_setups.into_iter().for_each(|id| self.cancel_request(id, now));
+        if self.last_setup_conn == Some(conn) {
+            self.last_setup_conn = self.viewers.iter().rfind(|(_, v)| v.has_sent_setup).map(|(c, _)| *c);
         }
-        for owed in v.releases.into_iter().filter(|o| now - o.since < limits::RELEASE_RETENTION) {
-            self.write_release(owed, None);
+        for release in
+            viewer.unconfirmed_releases.into_iter().filter(|r| now - r.created_at < limits::RELEASE_RETENTION)
+        {
+            self.write_release(release, None);
         }
     }
 
-    pub(super) fn viewer_bytes(&mut self, conn: ConnectionId, bytes: &[u8], at: Ms, now: Ms) {
-        let Some(v) = self.viewers.get_mut(&conn) else { return };
-        v.reader.push(bytes);
+    pub(super) fn viewer_bytes_received(
+        &mut self,
+        conn: ConnectionId,
+        bytes: &[u8],
+        received_at: Ms,
+        now: Ms,
+    ) {
+        let Some(viewer) = self.viewers.get_mut(&conn) else { return };
+        viewer.reader.push(bytes);
         loop {
-            let Some(v) = self.viewers.get_mut(&conn) else { return };
-            match v.reader.next_message() {
+            let Some(viewer) = self.viewers.get_mut(&conn) else { return };
+            match viewer.reader.next_message() {
                 Ok(Some(message)) => {
-                    (v.spoke, v.used) = (true, now);
+                    (viewer.has_sent_message, viewer.last_used_at) = (true, now);
                     match viewer::parse_message(message) {
-                        Ok(said) => self.said(conn, said, at, now),
-                        Err(fault) => self.refuse(conn, &fault, 400),
+                        Ok(message) => self.handle_viewer_message(conn, message, received_at, now),
+                        Err(error) => self.send_error(conn, &error, 400),
                     }
                 }
                 Ok(None) => {
-                    v.partial = v.reader.has_partial_message().then(|| v.partial.unwrap_or(at));
+                    viewer.partial_since = viewer
+                        .reader
+                        .has_partial_message()
+                        .then(|| viewer.partial_since.unwrap_or(received_at));
                     return;
                 }
                 Err(bad) => {
-                    if v.good {
-                        self.dos.push(IoAction::Log(format!("viewer's connection {}: {bad}", conn.0)));
+                    if viewer.has_sent_setup {
+                        self.io_actions.push(IoAction::Log(format!("viewer's connection {}: {bad}", conn.0)));
                     }
-                    let fault = RequestError { id: None, cseq: None, reason: String::new() };
-                    self.refuse(conn, &fault, 400);
-                    return self.close_viewer(conn, now);
+                    let error = RequestError { id: None, cseq: None, reason: String::new() };
+                    self.send_error(conn, &error, 400);
+                    return self.close_viewer_connection(conn, now);
                 }
             }
-            // What is left after a whole message is the beginning of another one.
-            if let Some(v) = self.viewers.get_mut(&conn) {
-                v.partial = None;
+            // Bytes left after a complete message belong to another one.
+            if let Some(viewer) = self.viewers.get_mut(&conn) {
+                viewer.partial_since = None;
             }
         }
     }
 
-    fn refuse(&mut self, conn: ConnectionId, fault: &RequestError, status: u16) {
-        self.dos.push(IoAction::Write { conn, bytes: viewer::error_response(fault, status) });
+    fn send_error(&mut self, conn: ConnectionId, error: &RequestError, status: u16) {
+        self.io_actions.push(IoAction::Write { conn, bytes: viewer::error_response(error, status) });
     }
 
-    fn said(&mut self, conn: ConnectionId, said: ViewerMessage, at: Ms, now: Ms) {
-        match said {
-            ViewerMessage::Setup(wanted) => {
-                let (id, asks) = (wanted.id, wanted.destination.current_server.is_none());
-                if let Err((why, status)) = self.wanted(conn, wanted, at, now) {
-                    self.ledger.taken += u64::from(asks);
-                    self.ledger.answered += u64::from(asks);
-                    // Told without its id where that is another request's, which this is no answer to.
-                    let id = (!self.sess.contains_key(&SessionId(id))).then_some(id);
-                    self.refuse(conn, &RequestError { id, cseq: Some(1), reason: why.into() }, status);
+    fn handle_viewer_message(
+        &mut self,
+        conn: ConnectionId,
+        message: ViewerMessage,
+        received_at: Ms,
+        now: Ms,
+    ) {
+        match message {
+            ViewerMessage::Setup(request) => {
+                let (id, is_new) = (request.id, request.destination.current_server.is_none());
+                if let Err((reason, status)) = self.handle_setup(conn, request, received_at, now) {
+                    self.request_counts.taken += u64::from(is_new);
+                    self.request_counts.answered += u64::from(is_new);
+                    // Without the id if another request has it: this is no answer to that one.
+                    let id = (!self.sessions.contains_key(&SessionId(id))).then_some(id);
+                    self.send_error(conn, &RequestError { id, cseq: Some(1), reason: reason.into() }, status);
                 }
             }
-            ViewerMessage::Teardown { id, cseq } => self.teardown(conn, id, cseq, now),
+            ViewerMessage::Teardown { id, cseq } => self.handle_viewer_teardown(conn, id, cseq, now),
             ViewerMessage::Options { id, cseq } => {
-                let status = if self.stopping.is_some() { 503 } else { 200 };
-                self.dos.push(IoAction::Write { conn, bytes: viewer::status_response(id, cseq, status) });
+                let status = if self.stop_requested_at.is_some() { 503 } else { 200 };
+                self.io_actions
+                    .push(IoAction::Write { conn, bytes: viewer::status_response(id, cseq, status) });
             }
             ViewerMessage::TeardownResponse { id } => {
-                if let Some(v) = self.viewers.get_mut(&conn) {
-                    v.releases.retain(|o| Some(o.id) != id);
+                if let Some(viewer) = self.viewers.get_mut(&conn) {
+                    viewer.unconfirmed_releases.retain(|r| Some(r.id) != id);
                 }
             }
         }
     }
 
-    /// A set-up is wanted, or a session handed over; or why it can't be taken.
-    fn wanted(
+    /// Takes a new request or the hand-over of a session, or returns the reason and the status of its
+    /// rejection.
+    fn handle_setup(
         &mut self,
         conn: ConnectionId,
-        w: SetupRequest,
-        at: Ms,
+        setup_request: SetupRequest,
+        received_at: Ms,
         now: Ms,
     ) -> Result<(), (&'static str, u16)> {
-        let group = self.told.classes.iter().position(|c| *c == w.class).ok_or(("class", 400))?;
-        let d = &w.destination;
-        let in_range = d.home_cell < self.told.cell_count
-            && (1..=self.told.cell_count).contains(&d.copies)
-            && usize::from(d.top_rung) < self.told.rung_count;
+        let group = self
+            .configuration
+            .classes
+            .iter()
+            .position(|c| *c == setup_request.class)
+            .ok_or(("class", 400))?;
+        let destination = &setup_request.destination;
+        let in_range = destination.home_cell < self.configuration.cell_count
+            && (1..=self.configuration.cell_count).contains(&destination.copies)
+            && usize::from(destination.top_rung) < self.configuration.rung_count;
         if !in_range {
             return Err(("figures", 400));
         }
-        let id = SessionId(w.id);
+        let id = SessionId(setup_request.id);
         let request = Request {
             group: GroupIndex(group as u16),
-            title: TitleId(w.title),
-            holders: Holders::Cells { first: CellId(d.home_cell), count: d.copies },
+            title: TitleId(setup_request.title),
+            holders: Holders::Cells { first: CellId(destination.home_cell), count: destination.copies },
             rates_kb_per_s: None,
-            highest_rung: d.top_rung,
-            // What passed since it was read counts against its viewer's time.
-            time_left: w.wait_limit_ms - (now - at),
+            highest_rung: destination.top_rung,
+            // The time since the request was received counts towards its viewer's wait.
+            time_left: setup_request.wait_limit_ms - (now - received_at),
         };
-        if let Some(name) = &w.destination.current_server {
-            let server = self.by_name.get(name).copied();
-            self.handed_over(conn, id, server, request, now);
+        if let Some(name) = &setup_request.destination.current_server {
+            let server_id = self.servers_by_name.get(name).copied();
+            self.take_over_session(conn, id, server_id, request, now);
             return Ok(());
         }
-        if w.wait_limit_ms > limits::MAX_WAIT_FACTOR * self.told.max_viewer_wait_ms {
+        if setup_request.wait_limit_ms > limits::MAX_WAIT_FACTOR * self.configuration.max_viewer_wait_ms {
             return Err(("time", 400));
         }
-        if self.sess.contains_key(&id) {
-            return self.asked_again(conn, id, &w);
+        if self.sessions.contains_key(&id) {
+            return self.move_request(conn, id, &setup_request);
         }
-        let Some(v) = self.viewers.get_mut(&conn) else { return Ok(()) };
-        if v.open.len() >= limits::MAX_OPEN_SETUPS_PER_VIEWER {
+        let Some(viewer) = self.viewers.get_mut(&conn) else { return Ok(()) };
+        if viewer.open_setups.len() >= limits::MAX_OPEN_SETUPS_PER_VIEWER {
             return Err(("too many at once", 503));
         }
-        v.open.insert(id);
-        v.good = true;
-        self.last_good = Some(conn);
-        self.ledger.taken += 1;
-        let stage = Stage::Asked { from: conn, wanted: Box::new(w), out: None };
-        self.sess.insert(id, Session { stage, setups: 0, until: now });
-        self.desk.asked(id, request, now, &mut self.actions);
-        self.hand_out_owed(conn);
+        viewer.open_setups.insert(id);
+        viewer.has_sent_setup = true;
+        self.last_setup_conn = Some(conn);
+        self.request_counts.taken += 1;
+        let stage = Stage::Pending { viewer_conn: conn, request: Box::new(setup_request), setup: None };
+        self.sessions.insert(id, Session { stage, setup_count: 0, setup_deadline: now });
+        self.desk.asked(id, request, now, &mut self.desk_actions);
+        self.write_pending_releases(conn);
         Ok(())
     }
 
-    /// A set-up under an id that is in hand. The same one on another connection is that of a viewer whose
-    /// first connection ended before it was answered: its answer goes where it asked last. Anything else is
-    /// another's.
-    fn asked_again(
+    /// Handles a set-up whose id is in use. If the same request is pending on another connection, its viewer
+    /// has lost that one and repeats it: the answer goes to the new connection. Anything else is another
+    /// viewer's and is rejected.
+    fn move_request(
         &mut self,
         conn: ConnectionId,
         id: SessionId,
-        w: &SetupRequest,
+        repeated: &SetupRequest,
     ) -> Result<(), (&'static str, u16)> {
-        let stage = self.sess.get_mut(&id).map(|s| &mut s.stage);
-        let Some(Stage::Asked { from, wanted, .. }) = stage else {
+        let stage = self.sessions.get_mut(&id).map(|s| &mut s.stage);
+        let Some(Stage::Pending { viewer_conn, request, .. }) = stage else {
             return Err(("id of another request", 400));
         };
-        let same = wanted.title == w.title && wanted.class == w.class && wanted.destination == w.destination;
-        if *from == conn || !same || wanted.description != w.description {
+        let same = request.title == repeated.title
+            && request.class == repeated.class
+            && request.destination == repeated.destination;
+        if *viewer_conn == conn || !same || request.description != repeated.description {
             return Err(("id of another request", 400));
         }
-        let before = std::mem::replace(from, conn);
-        if let Some(v) = self.viewers.get_mut(&before) {
-            v.open.remove(&id);
+        let previous_conn = std::mem::replace(viewer_conn, conn);
+        if let Some(viewer) = self.viewers.get_mut(&previous_conn) {
+            viewer.open_setups.remove(&id);
         }
-        if let Some(v) = self.viewers.get_mut(&conn) {
-            v.open.insert(id);
-            v.good = true;
-            self.last_good = Some(conn);
+        if let Some(viewer) = self.viewers.get_mut(&conn) {
+            viewer.open_setups.insert(id);
+            viewer.has_sent_setup = true;
+            self.last_setup_conn = Some(conn);
         }
         Ok(())
     }
 
-    /// A session that plays at a server already; it may be one that this node holds.
-    fn handed_over(
+    /// Takes over a session that plays on a server already, unless this node has it.
+    fn take_over_session(
         &mut self,
         conn: ConnectionId,
         id: SessionId,
-        server: Option<walnutline::ids::ServerId>,
+        server_id: Option<walnutline::ids::ServerId>,
         request: Request,
         now: Ms,
     ) {
-        if self.sess.contains_key(&id) {
+        if self.sessions.contains_key(&id) {
             return;
         }
-        if let Some(v) = self.viewers.get_mut(&conn) {
-            v.good = true;
-            self.last_good = Some(conn);
+        if let Some(viewer) = self.viewers.get_mut(&conn) {
+            viewer.has_sent_setup = true;
+            self.last_setup_conn = Some(conn);
         }
-        let Some((server, s)) = server.and_then(|server| Some((server, self.servers.get_mut(&server)?)))
+        let Some((server_id, server)) =
+            server_id.and_then(|server_id| Some((server_id, self.servers.get_mut(&server_id)?)))
         else {
-            // Its server is not there any more, and so is it.
-            return self.release(id.0, Some(conn), headers::RELEASE_CAUSE_INTERRUPTED, now);
+            // The session ended with its server.
+            return self.release_viewer(id.0, Some(conn), headers::RELEASE_CAUSE_INTERRUPTED, now);
         };
-        if let Some((_, cause)) = self.early_ends.remove(&id).filter(|(at, _)| *at == server) {
-            // Its end was told before it was handed over, and is not told again.
+        if let Some((_, cause)) = self.early_ends.remove(&id).filter(|(at, _)| *at == server_id) {
+            // The server has reported the session's end already and does not report it again.
             return match cause {
                 Some(headers::RELEASE_CAUSE_WITHDRAWN) => {}
                 Some(headers::RELEASE_CAUSE_ENDED) => {
-                    self.release(id.0, Some(conn), headers::RELEASE_CAUSE_ENDED, now)
+                    self.release_viewer(id.0, Some(conn), headers::RELEASE_CAUSE_ENDED, now)
                 }
-                _ => self.release(id.0, Some(conn), headers::RELEASE_CAUSE_INTERRUPTED, now),
+                _ => self.release_viewer(id.0, Some(conn), headers::RELEASE_CAUSE_INTERRUPTED, now),
             };
         }
-        s.standing.insert(id);
-        let stage = Stage::Stands { from: Some(conn), server, since: now };
-        self.sess.insert(id, Session { stage, setups: 0, until: now });
-        self.desk.under_way(id, request, server, now);
+        server.sessions.insert(id);
+        let stage = Stage::Playing { viewer_conn: Some(conn), server: server_id, since: now };
+        self.sessions.insert(id, Session { stage, setup_count: 0, setup_deadline: now });
+        self.desk.under_way(id, request, server_id, now);
         if let Some(rung) = self.early_rungs.remove(&id) {
             self.desk.rung_told(id, rung);
         }
-        self.keep_up(server, now);
+        self.ensure_connection(server_id, now);
     }
 
-    /// A viewer gives a set-up up, or ends its session.
-    fn teardown(&mut self, conn: ConnectionId, id: u64, cseq: Option<u32>, now: Ms) {
-        let sess = SessionId(id);
-        let status = match self.sess.get(&sess).map(|s| &s.stage) {
-            Some(Stage::Asked { from, .. }) if *from == conn => {
-                if let Some(v) = self.viewers.get_mut(&conn) {
-                    v.open.remove(&sess);
+    /// Handles a viewer's teardown, which cancels its request or ends its session.
+    fn handle_viewer_teardown(&mut self, conn: ConnectionId, id: u64, cseq: Option<u32>, now: Ms) {
+        let session_id = SessionId(id);
+        let status = match self.sessions.get(&session_id).map(|s| &s.stage) {
+            Some(Stage::Pending { viewer_conn, .. }) if *viewer_conn == conn => {
+                if let Some(viewer) = self.viewers.get_mut(&conn) {
+                    viewer.open_setups.remove(&session_id);
                 }
-                self.left(sess, now);
+                self.cancel_request(session_id, now);
                 200
             }
-            Some(Stage::Stands { server, .. }) => {
-                let server = *server;
-                self.tell_server(server, sess, Unsent::Release, now);
-                self.over(sess, SetupOutcome::Withdrawn, None, now);
+            Some(Stage::Playing { server, .. }) => {
+                let server_id = *server;
+                self.send_to_server(server_id, session_id, SessionMessage::Release, now);
+                self.end_session(session_id, SetupOutcome::Withdrawn, None, now);
                 200
             }
             _ => 454,
         };
-        self.dos.push(IoAction::Write { conn, bytes: viewer::status_response(Some(id), cseq, status) });
+        self.io_actions
+            .push(IoAction::Write { conn, bytes: viewer::status_response(Some(id), cseq, status) });
     }
 
-    /// No answer is owed any more: its SETUP, if one is out, is given up.
-    pub(super) fn left(&mut self, id: SessionId, now: Ms) {
-        let Some(Session { stage: Stage::Asked { out, .. }, .. }) = self.sess.remove(&id) else { return };
-        self.ledger.given_up += 1;
+    /// Cancels a request that needs no answer any more, with its pending SETUP.
+    pub(super) fn cancel_request(&mut self, id: SessionId, now: Ms) {
+        let Some(Session { stage: Stage::Pending { setup, .. }, .. }) = self.sessions.remove(&id) else {
+            return;
+        };
+        self.request_counts.given_up += 1;
         self.desk.left(id);
-        if let Some(out) = out {
-            self.give_up(id, out);
-            let ending = if out.written { SetupOutcome::Withdrawn } else { SetupOutcome::NeverSent };
-            self.desk.ended(id, ending, true, now, &mut self.actions);
+        if let Some(setup) = setup {
+            self.cancel_setup(id, setup);
+            let outcome = if setup.sent { SetupOutcome::Withdrawn } else { SetupOutcome::NeverSent };
+            self.desk.ended(id, outcome, true, now, &mut self.desk_actions);
         }
     }
 
-    /// Tells a viewer that its session is over: on the connection of its set-up, else on one that has brought
-    /// set-ups, else as soon as there is one.
-    pub(super) fn release(&mut self, id: u64, from: Option<ConnectionId>, cause: u32, now: Ms) {
-        self.write_release(Owed { id, cause, since: now }, from);
+    /// Tells a viewer that its session has ended: on the connection of its set-up, else on the one that last
+    /// brought a set-up, else as soon as there is one.
+    pub(super) fn release_viewer(&mut self, id: u64, viewer_conn: Option<ConnectionId>, cause: u32, now: Ms) {
+        self.write_release(PendingRelease { id, cause, created_at: now }, viewer_conn);
     }
 
-    fn write_release(&mut self, owed: Owed, from: Option<ConnectionId>) {
-        let open = from.filter(|c| self.viewers.contains_key(c)).or(self.last_good);
+    fn write_release(&mut self, release: PendingRelease, viewer_conn: Option<ConnectionId>) {
+        let open = viewer_conn.filter(|c| self.viewers.contains_key(c)).or(self.last_setup_conn);
         match open.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
-            Some((conn, v)) => {
-                self.dos.push(IoAction::Write { conn, bytes: viewer::release_request(owed.id, owed.cause) });
-                v.releases.retain(|o| owed.since - o.since < limits::RELEASE_RETENTION);
-                v.releases.truncate(limits::MAX_PENDING_RELEASES - 1);
-                v.releases.push_back(owed);
+            Some((conn, viewer)) => {
+                self.io_actions.push(IoAction::Write {
+                    conn,
+                    bytes: viewer::release_request(release.id, release.cause),
+                });
+                viewer
+                    .unconfirmed_releases
+                    .retain(|r| release.created_at - r.created_at < limits::RELEASE_RETENTION);
+                viewer.unconfirmed_releases.truncate(limits::MAX_PENDING_RELEASES - 1);
+                viewer.unconfirmed_releases.push_back(release);
             }
             None => {
-                if self.owed.len() >= limits::MAX_PENDING_RELEASES {
-                    self.owed.pop_front();
+                if self.pending_releases.len() >= limits::MAX_PENDING_RELEASES {
+                    self.pending_releases.pop_front();
                 }
-                self.owed.push_back(owed);
+                self.pending_releases.push_back(release);
             }
         }
     }
 
-    fn hand_out_owed(&mut self, conn: ConnectionId) {
-        while let Some(o) = self.owed.pop_front() {
-            self.write_release(o, Some(conn));
+    /// Sends the releases that have waited for a viewer's connection.
+    fn write_pending_releases(&mut self, conn: ConnectionId) {
+        while let Some(release) = self.pending_releases.pop_front() {
+            self.write_release(release, Some(conn));
         }
     }
 }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -2,59 +2,60 @@
 //! sessions does not depend on anything here. Times are in milliseconds ([`Ms`]).
 use walnutline::ids::Ms;
 
-/// Time within which a new viewer's connection has to bring a complete message. The platform expects an error or a
-/// close within 3 s.
+/// Time within which a new viewer's connection has to bring a complete message. The platform expects an error
+/// or a close within 3 s.
 pub const VIEWER_FIRST_MESSAGE_TIMEOUT: Ms = 2_000.0;
-/// Time within which a message that a viewer has begun has to be complete: the body may follow its head by 2 s, and
-/// malformed messages have to be answered within 3 s as well.
+/// Time within which a message that a viewer has begun has to be complete: the body may follow its head by 2
+/// s, and malformed messages have to be answered within 3 s as well.
 pub const VIEWER_MESSAGE_TIMEOUT: Ms = 2_500.0;
 /// Time within which a message that a server has begun has to be complete. Long for any network.
 pub const SERVER_MESSAGE_TIMEOUT: Ms = 2_000.0;
-/// Unanswered set-ups on one viewer's connection. More is treated as a flood: each of them would be placed and cost a
-/// server work.
+/// Unanswered set-ups on one viewer's connection. More is treated as a flood: each of them would be placed
+/// and cost a server work.
 pub const MAX_OPEN_SETUPS_PER_VIEWER: usize = 128;
-/// Longest wait accepted from a viewer, as a multiple of the longest wait that is configured for any class. A larger
-/// value can only be a mistake.
+/// Longest wait accepted from a viewer, as a multiple of the longest wait that is configured for any class. A
+/// larger value can only be a mistake.
 pub const MAX_WAIT_FACTOR: f64 = 10.0;
 /// Messages kept about sessions that have not been handed over yet, of each kind.
 pub const MAX_EARLY_MESSAGES: usize = 4_096;
 /// Time after the start for which messages about sessions that have not been handed over yet are kept.
 pub const EARLY_MESSAGE_PERIOD: Ms = 10_000.0;
-/// Connections to one server at once. A connection that breaks takes all set-ups on it along; up to this number, each
-/// set-up has a connection of its own.
+/// Connections to one server at once. A connection that breaks takes all set-ups on it along; up to this
+/// number, each set-up has a connection of its own.
 pub const MAX_CONNECTIONS_PER_SERVER: usize = 4;
 /// Idle time after which a connection to a server is closed if it isn't the only one.
 pub const EXTRA_CONNECTION_IDLE_TIMEOUT: Ms = 5_000.0;
-/// With more servers than room for connections, the longest time for which a server with sessions has no connection:
-/// viewers have to get the release of a session within 8 s of its end.
+/// With more servers than room for connections, the longest time for which a server with sessions has no
+/// connection: viewers have to get the release of a session within 8 s of its end.
 pub const MAX_TIME_WITHOUT_CONNECTION: Ms = 3_000.0;
-/// Share of the platform's idle time-out after which the node closes a connection itself: if the server closed it
-/// first, a set-up could cross the close.
+/// Share of the platform's idle time-out after which the node closes a connection itself: if the server
+/// closed it first, a set-up could cross the close.
 pub const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// Ids of cancelled or refused set-ups kept for each connection, in case a positive answer is still on its way: more
-/// than a node takes in while any of them could be answered.
+/// Ids of cancelled or refused set-ups kept for each connection, in case a positive answer is still on its
+/// way: more than a node takes in while any of them could be answered.
 pub const MAX_ENDED_SETUPS: usize = 1_024;
-/// Time without a message after which a server with sessions is pinged. The release of a session that ends with its
-/// machine has to reach its viewer within 8 s: with the ping's time-out, the connection attempt after it and two
-/// sweeps, 6 s pass. Pings are priced as probes and every node sends its own: with a shorter time, they were six of
-/// seven probes of the fleet.
+/// Time without a message after which a server with sessions is pinged. The release of a session that ends
+/// with its machine has to reach its viewer within 8 s: with the ping's time-out, the connection attempt
+/// after it and two sweeps, 6 s pass. Pings are priced as probes and every node sends its own: with a shorter
+/// time, they were six of seven probes of the fleet.
 pub const PING_AFTER_SILENCE: Ms = 4_000.0;
 /// Time-out of a ping. A new connection is then opened; if that fails too, the machine is taken for gone.
 pub const PING_TIMEOUT: Ms = 1_200.0;
-/// Shortest time in which a server's process can be replaced: a server that accepts a connection sooner than this after
-/// its last message still has the same process.
+/// Shortest time in which a server's process can be replaced: a server that accepts a connection sooner than
+/// this after its last message still has the same process.
 pub const MIN_PROCESS_RESTART_TIME: Ms = 1_000.0;
 /// Time within which everything that a process sent before its end has arrived.
 pub const MAX_DELIVERY_DELAY: Ms = 250.0;
-/// Time for which releases are kept that found no connection, or whose connection ended before they were confirmed.
+/// Time for which releases are kept that found no connection, or whose connection ended before they were
+/// confirmed.
 pub const RELEASE_RETENTION: Ms = 8_000.0;
 /// Releases kept at once.
 pub const MAX_PENDING_RELEASES: usize = 4_096;
-/// Queries for the list of servers whose answers are still accepted: those of at least the last 10 s, at the rate of
-/// the shortest drain grace in use.
+/// Queries for the list of servers whose answers are still accepted: those of at least the last 10 s, at the
+/// rate of the shortest drain grace in use.
 pub const MAX_OPEN_LIST_QUERIES: usize = 64;
-/// A name service that has answered with lower serial numbers alone for this time has begun to number anew. After an
-/// older list that was served by mistake, newer ones follow within 4.5 s.
+/// A name service that has answered with lower serial numbers alone for this time has begun to number anew.
+/// After an older list that was served by mistake, newer ones follow within 4.5 s.
 pub const SERIAL_RESET_TIME: Ms = 5_000.0;
 /// Answers with a lower serial number that it takes as well.
 pub const SERIAL_RESET_ANSWERS: u32 = 4;
@@ -62,26 +63,26 @@
 pub const MAX_LOGGED_PATHS: usize = 8;
 /// Interval at which all connections are checked.
 pub const SWEEP_INTERVAL: Ms = 250.0;
-/// Time after the request to stop during which new requests may still arrive; after that, the node ends as soon as
-/// no work is left.
+/// Time after the request to stop during which new requests may still arrive; after that, the node ends as
+/// soon as no work is left.
 pub const SHUTDOWN_REQUEST_PERIOD: Ms = 700.0;
-/// Time for which playing sessions are kept beyond the longest wait of a viewer, or beyond [`MAX_SHUTDOWN_WAIT`] if that
-/// is shorter. The platform kills the process 250 ms later.
+/// Time for which playing sessions are kept beyond the longest wait of a viewer, or beyond
+/// [`MAX_SHUTDOWN_WAIT`] if that is shorter. The platform kills the process 250 ms later.
 pub const SHUTDOWN_SESSION_GRACE: Ms = 450.0;
 /// Longest viewer's wait for which the platform delays the kill.
 pub const MAX_SHUTDOWN_WAIT: Ms = 3_000.0;
 /// Interval at which a stopping node checks whether it may end.
 pub const SHUTDOWN_CHECK_INTERVAL: Ms = 25.0;
-/// Longest time for which the end is delayed for input not yet handled or output not yet sent. The kill comes 100 ms
-/// later.
+/// Longest time for which the end is delayed for input not yet handled or output not yet sent. The kill comes
+/// 100 ms later.
 pub const SHUTDOWN_FLUSH_TIMEOUT: Ms = 150.0;
-/// Longest time for which the ending process goes on reading from viewers after it has closed its side. After all of
-/// the time-outs above, 35 ms are left before the kill.
+/// Longest time for which the ending process goes on reading from viewers after it has closed its side. After
+/// all of the time-outs above, 35 ms are left before the kill.
 pub const SHUTDOWN_READ_TIMEOUT: Ms = 40.0;
 /// A viewer that ends its session sooner than this after the answer may not have received it; this is logged.
 pub const IMMEDIATE_TEARDOWN: Ms = 5.0;
-/// Longest time for which a SETUP is held back while its viewer has unread input: a viewer that sends without pause
-/// is taken to be connected.
+/// Longest time for which a SETUP is held back while its viewer has unread input: a viewer that sends without
+/// pause is taken to be connected.
 pub const MAX_SETUP_HOLD: Ms = 50.0;
 /// Descriptors for neither viewers nor servers: standard streams, listener, pollers, datagrams, signals, the
 /// configuration, and some to spare.
@@ -96,7 +97,8 @@
 pub const MAX_BACKLOG_BYTES: usize = 256 * 1024;
 /// Bytes read from a connection in one call.
 pub const READ_BUFFER_BYTES: usize = 4_096;
-/// Reads from one connection before the others are served, so that a peer that sends without pause delays no other.
+/// Reads from one connection before the others are served, so that a peer that sends without pause delays no
+/// other.
 pub const MAX_CONSECUTIVE_READS: usize = 4;
 
 /// Viewers' connections held at once, for a limit on sockets and the number of servers listed at the start.
