--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -146,8 +146,8 @@
         close.into_iter().for_each(|conn| self.close_server_connection(conn, now));
     }
 
-    /// Begins to stop the node, which was requested at `requested_at`: it goes on taking and answering
-    /// requests, and ends once no work is left.
+    /// Begins to stop the node, as requested at `requested_at`: it goes on taking and answering requests, and
+    /// ends once no work is left.
     pub fn stop(&mut self, requested_at: Ms) {
         if self.stop_requested_at.is_none() {
             self.stop_requested_at = Some(requested_at);
@@ -156,6 +156,7 @@
         }
     }
 
+    /// Ends the process once no request is pending and either no session is left or the time for them is over.
     fn exit_if_done(&mut self, now: Ms) {
         let Some(requested_at) = self.stop_requested_at else { return };
         let any_pending = self.sessions.values().any(|s| matches!(s.stage, Stage::Pending { .. }));
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -51,6 +51,7 @@
     Playing { viewer_conn: Option<ConnectionId>, server: ServerId, since: Ms },
 }
 
+/// A pending request or a playing session.
 struct Session {
     stage: Stage,
     setup_count: u32,
@@ -74,6 +75,7 @@
     created_at: Ms,
 }
 
+/// What a timer is for.
 #[derive(Debug)]
 enum TimerEvent {
     SetupTimeout { id: SessionId, attempt: u32 },
@@ -86,6 +88,7 @@
 
 /// The core of a front node.
 pub struct Node {
+    /// Makes the decisions on sessions.
     pub desk: Desk,
     /// The configuration in force. Further zones of the list are added to those that it names.
     configuration: Configuration,
@@ -179,8 +182,7 @@
         std::mem::take(&mut self.io_actions)
     }
 
-    /// Counts of the requests taken so far, for the log: those answered, given up and open add up to those
-    /// taken.
+    /// Returns the counts of requests for the log: those answered, given up and open add up to those taken.
     pub fn request_counts(&self) -> String {
         let RequestCounts { taken, answered, given_up } = self.request_counts;
         let open = self.sessions.values().filter(|s| matches!(s.stage, Stage::Pending { .. })).count();
@@ -236,7 +238,7 @@
         self.desk_actions.clear();
     }
 
-    /// Answers the request of a session that does not come to play.
+    /// Answers a request that could not be placed on a server, and forgets its session.
     fn send_final_answer(&mut self, id: SessionId, bytes: Vec<u8>) {
         if let Some(Session { stage: Stage::Pending { viewer_conn, .. }, .. }) = self.sessions.remove(&id) {
             self.request_counts.answered += 1;
--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Handles that a connection to a server has opened.
+    /// Handles the opening of a connection to a server.
     pub fn server_connected(&mut self, conn: ConnectionId, now: Ms) {
         let Some(connection) = self.server_connections.get_mut(&conn) else { return };
         (connection.up, connection.last_used_at) = (true, now);
@@ -401,8 +401,7 @@
         Some(server::setup_request(request, rung, session.setup_deadline - now))
     }
 
-    /// Handles that the connection for an offered SETUP can't take it now: it ends unsent, and another server
-    /// may be used.
+    /// Ends an offered SETUP unsent, as its connection can't take it now; another server may be used.
     pub fn setup_blocked(&mut self, id: SessionId, attempt: u32, now: Ms) {
         if let Some(Stage::Pending { setup: Some(setup), .. }) = self.sessions.get(&id).map(|s| &s.stage) {
             let setup = *setup;
--- a/crates/node/src/core/server_messages.rs
+++ b/crates/node/src/core/server_messages.rs
@@ -1,4 +1,4 @@
-//! Handling of messages from servers.
+//! Messages from servers: answers to set-ups and probes, ends of sessions, and load reports.
 use super::server_connections::{OptionsPurpose, SessionMessage};
 use super::{Node, Session, Stage};
 use crate::actions::{ConnectionId, IoAction};
--- a/crates/node/src/core/viewer_connections.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -65,8 +65,8 @@
         victim.is_some()
     }
 
-    /// Handles that a connection to be closed if idle has data on its way: a set-up received but not yet read
-    /// would be lost with it. At the limit, another one is closed instead.
+    /// Handles the edge's refusal to close a connection, which has data on its way: a set-up received but not
+    /// yet read would be lost with it. At the limit, another one is closed instead.
     pub fn connection_in_use(&mut self, conn: ConnectionId, now: Ms) {
         if let Some(viewer) = self.viewers.get_mut(&conn) {
             viewer.found_in_use_at = now;
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -5,8 +5,8 @@
 /// Time within which a new viewer's connection has to bring a complete message. The platform expects an error
 /// or a close within 3 s.
 pub const VIEWER_FIRST_MESSAGE_TIMEOUT: Ms = 2_000.0;
-/// Time within which a message that a viewer has begun has to be complete: the body may follow its head by 2
-/// s, and malformed messages have to be answered within 3 s as well.
+/// Time within which a message that a viewer has begun has to be complete: the body may follow its head by
+/// 2 s, and malformed messages have to be answered within 3 s as well.
 pub const VIEWER_MESSAGE_TIMEOUT: Ms = 2_500.0;
 /// Time within which a message that a server has begun has to be complete. Long for any network.
 pub const SERVER_MESSAGE_TIMEOUT: Ms = 2_000.0;
