--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -12,7 +12,7 @@
         let deferred_until = self.stall.holds_back(now).unwrap_or(Ms::NEG_INFINITY);
         self.timers
             .next_at()
-            .map_or(self.desk_next_call_at, |t| t.max(deferred_until).min(self.desk_next_call_at))
+            .map_or(self.engine_next_call_at, |t| t.max(deferred_until).min(self.engine_next_call_at))
     }
 
     /// Handles the timers that are due. To be called after each round of events and at
@@ -25,17 +25,17 @@
         if self.stall.holds_back(now).is_none() {
             while let Some(event) = self.timers.due(now) {
                 self.handle_timer(event, now);
-                self.process_desk_actions(now);
+                self.process_engine_actions(now);
             }
         }
-        self.desk.rang(now);
+        self.engine.rang(now);
         // A waiting session that has been placed may have to wait once more: only a second call returns the
         // probe or the time that it then waits for.
-        if self.desk.attend(now, &mut self.desk_actions) {
-            self.process_desk_actions(now);
-            self.desk.attend(now, &mut self.desk_actions);
+        if self.engine.attend(now, &mut self.engine_actions) {
+            self.process_engine_actions(now);
+            self.engine.attend(now, &mut self.engine_actions);
         }
-        self.process_desk_actions(now);
+        self.process_engine_actions(now);
         self.stall.sleeps_until(self.next_call_at(now));
     }
 
@@ -61,7 +61,7 @@
                 self.sweep_viewers(now);
                 self.sweep_servers(now);
                 self.remove_unused_servers();
-                if now - self.desk.front.started_at > limits::EARLY_MESSAGE_PERIOD {
+                if now - self.engine.front.started_at > limits::EARLY_MESSAGE_PERIOD {
                     self.early_rungs.clear();
                     self.early_ends.clear();
                 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! Owns all sessions, connections and time-outs of a node, without I/O: it is given events with their times,
 //! and returns the actions to take and the time of the next call. Every decision on a session is made by the
-//! desk.
+//! decision engine.
 //!
 //! - [`viewer_connections`]: viewers' messages and the answers to them.
 //! - [`server_connections`]: connections to servers, and what the end of one implies.
@@ -89,7 +89,7 @@
 /// The core of a front node.
 pub struct Node {
     /// Makes the decisions on sessions.
-    pub desk: Desk,
+    pub engine: Desk,
     /// The configuration in force. Further zones of the list are added to those that it names.
     configuration: Configuration,
     configured_zone_count: usize,
@@ -116,9 +116,9 @@
     last_connection_id: u64,
     stop_requested_at: Option<Ms>,
     request_counts: RequestCounts,
-    desk_actions: Vec<Action>,
+    engine_actions: Vec<Action>,
     io_actions: Vec<IoAction>,
-    desk_next_call_at: Ms,
+    engine_next_call_at: Ms,
     /// The time of the last call.
     last_call_at: Ms,
 }
@@ -139,7 +139,7 @@
         let servers = configuration.servers.clone();
         let max_viewers = limits::max_viewer_connections(configuration.max_sockets, servers.len());
         let mut node = Node {
-            desk: Desk::new(settings, configuration.seed, now),
+            engine: Desk::new(settings, configuration.seed, now),
             configured_zone_count: configuration.zones.len(),
             sessions: BTreeMap::new(),
             viewers: BTreeMap::new(),
@@ -160,9 +160,9 @@
             last_connection_id: 0,
             stop_requested_at: None,
             request_counts: RequestCounts::default(),
-            desk_actions: Vec::new(),
+            engine_actions: Vec::new(),
             io_actions: Vec::new(),
-            desk_next_call_at: now,
+            engine_next_call_at: now,
             last_call_at: now,
             configuration,
         };
@@ -201,7 +201,7 @@
         } else if self.server_connections.contains_key(&conn) {
             self.server_bytes_received(conn, bytes, now);
         }
-        self.process_desk_actions(now);
+        self.process_engine_actions(now);
     }
 
     /// Handles the end of a connection, or that it could not be opened.
@@ -211,15 +211,15 @@
         } else if self.server_connections.contains_key(&conn) {
             self.server_connection_closed(conn, end, now);
         }
-        self.process_desk_actions(now);
+        self.process_engine_actions(now);
     }
 
-    /// Carries out the desk's actions. One whose outcome is known at once can add further actions.
-    fn process_desk_actions(&mut self, now: Ms) {
+    /// Carries out the decision engine's actions. One whose outcome is known at once can add further actions.
+    fn process_engine_actions(&mut self, now: Ms) {
         self.last_call_at = now;
         let mut next = 0;
-        while next < self.desk_actions.len() {
-            let action = self.desk_actions[next].clone();
+        while next < self.engine_actions.len() {
+            let action = self.engine_actions[next].clone();
             next += 1;
             match action {
                 Action::Setup { id, server, timeout, .. } => self.start_setup(id, server, timeout, now),
@@ -232,10 +232,10 @@
                 Action::TornDown { id } => self.send_final_answer(id, viewer::setup_failed_response(id.0)),
                 Action::Tell(reports) => self.send_peer_reports(&reports, now),
                 Action::Log(line) => self.io_actions.push(IoAction::Log(line)),
-                Action::AgainAt(at) => self.desk_next_call_at = at,
+                Action::AgainAt(at) => self.engine_next_call_at = at,
             }
         }
-        self.desk_actions.clear();
+        self.engine_actions.clear();
     }
 
     /// Answers a request that could not be placed on a server, and forgets its session.
@@ -249,11 +249,11 @@
         }
     }
 
-    /// Passes the outcome of a session's SETUP to the desk, which decides what comes next.
+    /// Passes the outcome of a session's SETUP to the decision engine, which decides what comes next.
     fn setup_ended(&mut self, id: SessionId, outcome: SetupOutcome, now: Ms) {
         if let Some(Session { stage: Stage::Pending { setup, .. }, .. }) = self.sessions.get_mut(&id) {
             *setup = None;
-            self.desk.ended(id, outcome, false, now, &mut self.desk_actions);
+            self.engine.ended(id, outcome, false, now, &mut self.engine_actions);
         }
     }
 
@@ -270,6 +270,6 @@
         if let Some(cause) = cause {
             self.release_viewer(id.0, viewer_conn, cause, now);
         }
-        self.desk.ended(id, outcome, true, now, &mut self.desk_actions);
+        self.engine.ended(id, outcome, true, now, &mut self.engine_actions);
     }
 }
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! Load reports between front nodes: the desk says what is sent and gets what is received.
+//! Load reports between front nodes: the decision engine says what is sent and gets what is received.
 use super::Node;
 use crate::actions::IoAction;
 use std::net::SocketAddr;
@@ -56,6 +56,6 @@
                 s.last_seen_at = s.last_seen_at.max(now - report.age);
             }
         }
-        self.desk.peer_told(&reports, now);
+        self.engine.peer_told(&reports, now);
     }
 }
--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -47,7 +47,7 @@
 /// The reason for an OPTIONS request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OptionsPurpose {
-    /// The desk asked for the server's load.
+    /// The decision engine asked for the server's load.
     Probe,
     /// The server has been silent for a long time.
     Ping,
@@ -192,7 +192,7 @@
         // The process can't have been replaced since its last message: earlier connections were reset, but it
         // is alive. A message to another node may have come from a new process already, so it doesn't count.
         if now - server.last_message_at < limits::MIN_PROCESS_RESTART_TIME {
-            self.desk.lives(server_id, Ms::NEG_INFINITY);
+            self.engine.lives(server_id, Ms::NEG_INFINITY);
         }
         // Beyond the limit, this connection was opened to check whether a silent machine is alive, and has
         // served its purpose: a process that hangs for long would otherwise gather one more connection with
@@ -224,7 +224,7 @@
         }
         waiting.into_iter().for_each(|id| self.offer_setup(id));
         (0..probes).for_each(|_| self.send_options(conn, OptionsPurpose::Probe, now));
-        self.process_desk_actions(now);
+        self.process_engine_actions(now);
     }
 
     pub(super) fn close_server_connection(&mut self, conn: ConnectionId, now: Ms) {
@@ -283,7 +283,7 @@
         let probes = connection.pending_options.values().filter(|p| **p == OptionsPurpose::Probe).count()
             as u32
             + connection.queued_probes;
-        (0..probes).for_each(|_| self.desk.probed(server_id, outcome, now));
+        (0..probes).for_each(|_| self.engine.probed(server_id, outcome, now));
     }
 
     /// Ends all sessions on a server.
@@ -390,7 +390,7 @@
     /// Marks an offered SETUP as sent and returns its bytes, with the session's current rung and the rest of
     /// the time-out; `None` if it is no longer wanted.
     pub fn send_setup(&mut self, id: SessionId, attempt: u32, now: Ms) -> Option<Vec<u8>> {
-        let rung = self.desk.hand.sessions.get(&id).map_or(0, |s| s.rung);
+        let rung = self.engine.hand.sessions.get(&id).map_or(0, |s| s.rung);
         let session = self.sessions.get_mut(&id)?;
         let Stage::Pending { request, setup: Some(setup), .. } = &mut session.stage else { return None };
         if setup.attempt != attempt || setup.sent || now >= session.setup_deadline {
@@ -408,7 +408,7 @@
             if setup.attempt == attempt && !setup.sent {
                 self.cancel_setup(id, setup);
                 self.setup_ended(id, SetupOutcome::NeverSent, now);
-                self.process_desk_actions(now);
+                self.process_engine_actions(now);
             }
         }
     }
@@ -528,7 +528,7 @@
         let Some(connection) = self.server_connections.get_mut(&conn) else { return };
         let server_id = connection.server;
         match connection.pending_options.remove(&id) {
-            Some(OptionsPurpose::Probe) => self.desk.probed(server_id, SetupOutcome::TimedOut, now),
+            Some(OptionsPurpose::Probe) => self.engine.probed(server_id, SetupOutcome::TimedOut, now),
             Some(OptionsPurpose::Ping)
                 if self
                     .servers
--- a/crates/node/src/core/server_list.rs
+++ b/crates/node/src/core/server_list.rs
@@ -74,7 +74,7 @@
         if self.name_service.is_newer(answer.serial, now) {
             self.name_service.serial = answer.serial;
             self.replace_server_list(answer.servers, now);
-            self.process_desk_actions(now);
+            self.process_engine_actions(now);
         }
     }
 
@@ -98,7 +98,7 @@
         }
         // In addition to the periodic queries, which go on.
         self.request_list();
-        self.process_desk_actions(now);
+        self.process_engine_actions(now);
     }
 
     /// Replaces the whole list of servers.
@@ -107,7 +107,7 @@
         let mut entries = Vec::new();
         for n in self.configured_zone_count..self.configuration.zones.len() {
             let name = &self.configuration.zones[n];
-            let known_servers = self.desk.front.fleet.servers.values();
+            let known_servers = self.engine.front.fleet.servers.values();
             let in_use = known_servers.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == n);
             if !in_use && records.iter().all(|r| r.zone != *name) {
                 self.configuration.zones[n] = String::new();
@@ -138,7 +138,7 @@
                 self.end_all_sessions(id, now);
             }
         }
-        self.desk.listed_all(entries);
+        self.engine.listed_all(entries);
         self.cancel_unsent_setups(now);
     }
 
@@ -212,8 +212,8 @@
 
     /// Removes servers that are no longer listed once nothing refers to them.
     pub(super) fn remove_unused_servers(&mut self) {
-        let Node { servers, servers_by_name, desk, .. } = self;
-        let in_use: BTreeSet<ServerId> = desk.hand.sessions.values().filter_map(|s| s.server).collect();
+        let Node { servers, servers_by_name, engine, .. } = self;
+        let in_use: BTreeSet<ServerId> = engine.hand.sessions.values().filter_map(|s| s.server).collect();
         servers.retain(|id, s| {
             let keep = s.list_state != ServerState::Gone
                 || !s.connections.is_empty()
@@ -221,7 +221,7 @@
                 || in_use.contains(id);
             if !keep {
                 servers_by_name.remove(&s.name);
-                desk.front.fleet.servers.remove(id);
+                engine.front.fleet.servers.remove(id);
             }
             keep
         });
--- a/crates/node/src/core/server_messages.rs
+++ b/crates/node/src/core/server_messages.rs
@@ -21,7 +21,7 @@
             // Input long after the last disconnect, on a connection opened before it: the process hasn't
             // ended.
             if opened_at < s.last_disconnect_at && now - s.last_disconnect_at > limits::MAX_DELIVERY_DELAY {
-                self.desk.lives(server_id, opened_at);
+                self.engine.lives(server_id, opened_at);
             }
         }
         loop {
@@ -65,7 +65,7 @@
                 self.record_report(server_id, &report, now);
                 if purpose == Some(OptionsPurpose::Probe) {
                     let outcome = if status < 300 { SetupOutcome::Done } else { SetupOutcome::Errored };
-                    self.desk.probed(server_id, outcome, now);
+                    self.engine.probed(server_id, outcome, now);
                 }
             }
             ServerMessage::Teardown { id, cause, cseq, report } => {
@@ -80,10 +80,10 @@
                     return self.record_early_rung(SessionId(id), quantity, value, now);
                 }
                 match quantity {
-                    Quantity::DeliveredShare => self.desk.share_heard(server_id, value, now),
-                    Quantity::Rung => self.desk.rung_told(SessionId(id), value.clamp(0.0, 255.0) as u8),
-                    Quantity::LinkUse => self.desk.link_heard(server_id, value, now),
-                    Quantity::UplinkUse => self.desk.uplink_heard(server_id, value, now),
+                    Quantity::DeliveredShare => self.engine.share_heard(server_id, value, now),
+                    Quantity::Rung => self.engine.rung_told(SessionId(id), value.clamp(0.0, 255.0) as u8),
+                    Quantity::LinkUse => self.engine.link_heard(server_id, value, now),
+                    Quantity::UplinkUse => self.engine.uplink_heard(server_id, value, now),
                 }
             }
             ServerMessage::TeardownResponse { id } => {
@@ -104,19 +104,19 @@
 
     /// Whether a message about this session is to be kept, with `kept_count` kept already.
     fn is_early(&self, id: SessionId, kept_count: usize, now: Ms) -> bool {
-        let early = now - self.desk.front.started_at < limits::EARLY_MESSAGE_PERIOD
+        let early = now - self.engine.front.started_at < limits::EARLY_MESSAGE_PERIOD
             && kept_count < limits::MAX_EARLY_MESSAGES;
         early && !self.sessions.contains_key(&id)
     }
 
-    /// Passes a load report to the desk, as values in the order of the configured columns.
+    /// Passes a load report to the decision engine, as values in the order of the configured columns.
     fn record_report(&mut self, server_id: ServerId, report: &LoadReport, now: Ms) {
         if !report.is_empty() {
             let value = |column: &String| {
                 report.iter().find(|(name, _)| name == column).map_or(f64::NAN, |(_, v)| *v)
             };
             let values: Vec<f64> = self.configuration.report_columns.iter().map(value).collect();
-            self.desk.report(server_id, &values, now);
+            self.engine.report(server_id, &values, now);
         }
     }
 
@@ -170,7 +170,7 @@
         }
         self.io_actions
             .push(IoAction::Write { conn: viewer_conn, bytes: viewer::setup_response(id.0, description) });
-        self.desk.started(id, now);
+        self.engine.started(id, now);
     }
 
     /// Handles a server's report that a session has ended or that a set-up failed. It may come more than
--- a/crates/node/src/core/viewer_connections.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -234,7 +234,7 @@
         self.request_counts.taken += 1;
         let stage = Stage::Pending { viewer_conn: conn, request: Box::new(setup_request), setup: None };
         self.sessions.insert(id, Session { stage, setup_count: 0, setup_deadline: now });
-        self.desk.asked(id, request, now, &mut self.desk_actions);
+        self.engine.asked(id, request, now, &mut self.engine_actions);
         self.write_pending_releases(conn);
         Ok(())
     }
@@ -305,9 +305,9 @@
         server.sessions.insert(id);
         let stage = Stage::Playing { viewer_conn: Some(conn), server: server_id, since: now };
         self.sessions.insert(id, Session { stage, setup_count: 0, setup_deadline: now });
-        self.desk.under_way(id, request, server_id, now);
+        self.engine.under_way(id, request, server_id, now);
         if let Some(rung) = self.early_rungs.remove(&id) {
-            self.desk.rung_told(id, rung);
+            self.engine.rung_told(id, rung);
         }
         self.ensure_connection(server_id, now);
     }
@@ -341,11 +341,11 @@
             return;
         };
         self.request_counts.given_up += 1;
-        self.desk.left(id);
+        self.engine.left(id);
         if let Some(setup) = setup {
             self.cancel_setup(id, setup);
             let outcome = if setup.sent { SetupOutcome::Withdrawn } else { SetupOutcome::NeverSent };
-            self.desk.ended(id, outcome, true, now, &mut self.desk_actions);
+            self.engine.ended(id, outcome, true, now, &mut self.engine_actions);
         }
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! The front node on the operators' platform.
 //!
 //! - [`core`]: all sessions, connections and time-outs, without I/O: takes events with their times and
-//!   returns [`IoAction`]s. The decisions on a session are made by the desk.
+//!   returns [`IoAction`]s. The decisions on a session are made by the decision engine.
 //! - [`actions`]: the interface between the core and the edge.
 //! - [`limits`]: limits and time-outs for viewers and servers, with their reasons.
 //! - [`edge`]: sockets, threads and signals around the core.
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -45,7 +45,7 @@
     w.says(server, note);
     w.says(viewer, &at(9));
     assert_eq!(w.find("RTSP/1.0 4"), None, "no answer is wanted");
-    let held: Vec<(u8, bool)> = w.node.desk.hand.sessions.values().map(|s| (s.rung, s.playing)).collect();
+    let held: Vec<(u8, bool)> = w.node.engine.hand.sessions.values().map(|s| (s.rung, s.playing)).collect();
     assert_eq!(held, [(0, true), (3, true)]);
     w.says(server, &release(9, 16));
     assert_eq!(w.find("cause=16").unwrap().0, viewer);
@@ -107,7 +107,7 @@
     w.pass(30.0);
     let withdrawn: String = (1..=100).map(up).collect();
     w.says(viewer, &withdrawn);
-    assert_eq!(w.node.desk.hand.sessions.len(), 0);
+    assert_eq!(w.node.engine.hand.sessions.len(), 0);
     w.out.clear();
     w.pass(1_000.0);
     assert_eq!(w.find("SETUP"), None);
@@ -267,15 +267,15 @@
         w.says(conn, &reply(200, 1, ""));
         (viewer, conn)
     };
-    let id = *w.node.desk.front.fleet.servers.keys().next().unwrap();
+    let id = *w.node.engine.front.fleet.servers.keys().next().unwrap();
     let note =
         "ANNOUNCE rtsp://media/x RTSP/1.0\r\nCSeq: 4\r\nSession: 0000000000000001\r\nX-Why: quality\r\n\
                 Figure: 1\r\nContent-Length: 0\r\n\r\n";
-    let died = |w: &mut World| w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at.is_some();
+    let died = |w: &mut World| w.node.engine.front.fleet.servers.get_mut(&id).unwrap().died_at.is_some();
     // Silent for so long that new connections are tried, which do not open.
     w.pass(limits::PING_AFTER_SILENCE + limits::PING_TIMEOUT + 400.0);
     let second = w.connecting.pop().expect("a new connection");
-    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
+    w.node.engine.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     w.ends(second, ConnectionEnd::Closed);
     w.says(server, note);
     assert!(died(&mut w), "may have been on its way");
@@ -287,7 +287,7 @@
     w.setup_of(2);
     w.says(server, &reply(200, 2, ""));
     w.ends(server, ConnectionEnd::Closed);
-    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
+    w.node.engine.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     let next = w.connecting.pop().expect("opened anew");
     w.node.server_connected(next, w.now);
     assert!(!died(&mut w), "one that ends is not back at once");
@@ -305,7 +305,7 @@
 /// the settings tell of fewer or of none.
 #[test]
 fn as_many_share_a_cold_server_as_either_tells_of() {
-    let fronts = |document: &str| World::with(document).node.desk.front.settings.front_count;
+    let fronts = |document: &str| World::with(document).node.engine.front.settings.front_count;
     let peers: Vec<String> = (1..=30).map(|n| format!("\"127.0.0.{n}:7946\"")).collect();
     let many = with_peers().replace(&format!("\"{PEER}\""), &peers.join(","));
     assert_eq!((fronts(NODE), fronts(&with_peers())), (2, 2));
@@ -321,10 +321,10 @@
     let mut w = World::with(&with_peers());
     let (_, server) = w.standing(1);
     w.open_at_once = false;
-    let id = *w.node.desk.front.fleet.servers.keys().next().unwrap();
+    let id = *w.node.engine.front.fleet.servers.keys().next().unwrap();
     w.pass(limits::MIN_PROCESS_RESTART_TIME * 1.5);
     w.ends(server, ConnectionEnd::Closed);
-    w.node.desk.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
+    w.node.engine.front.fleet.servers.get_mut(&id).unwrap().died_at = Some(w.now);
     let entry = |server| ServerStatus {
         name_hash: hash_server_name(server),
         age_ms: 20.0,
@@ -337,7 +337,7 @@
     w.run();
     let next = w.connecting.pop().expect("opened anew");
     w.node.server_connected(next, w.now);
-    assert!(w.node.desk.front.fleet.servers[&id].died_at.is_some());
+    assert!(w.node.engine.front.fleet.servers[&id].died_at.is_some());
 }
 
 /// Guards against 300 nodes that each test a server every two seconds: ten tests for each probe on a calm day.
@@ -365,7 +365,7 @@
         }
         assert_eq!(w.find("rtsp://media/ping").is_some(), tested, "{from}");
         let heard =
-            w.node.desk.front.fleet.servers.values().filter(|s| s.link_use.is_some_and(|l| l.value > 0.4));
+            w.node.engine.front.fleet.servers.values().filter(|s| s.link_use.is_some_and(|l| l.value > 0.4));
         assert_eq!(heard.count(), if tested { 0 } else { 2 }, "{from}");
     }
 }
@@ -560,7 +560,7 @@
         w.pass(20.0);
     }
     assert!(w.find("RTSP/1.0 503").is_some(), "{:?}", w.out);
-    let servers = &w.node.desk.front.fleet.servers;
+    let servers = &w.node.engine.front.fleet.servers;
     assert!(servers.values().all(|s| s.failures == 0 && s.died_at.is_none()), "{servers:?}");
 }
 
@@ -594,7 +594,7 @@
         w.node.name_service_datagram(names, &told, w.now);
         w.run();
         w.pass(limits::SWEEP_INTERVAL * 2.0);
-        numbers.extend(w.node.desk.front.fleet.servers.values().map(|s| s.entry.zone.0));
+        numbers.extend(w.node.engine.front.fleet.servers.values().map(|s| s.entry.zone.0));
     }
     assert!(numbers.len() <= 4, "{numbers:?}");
 }
@@ -665,7 +665,7 @@
     }
     assert_eq!(seen(&w), 1_024, "each was reached within 8 s");
     let zones: std::collections::BTreeSet<_> =
-        w.node.desk.front.fleet.servers.values().map(|s| s.entry.zone).collect();
+        w.node.engine.front.fleet.servers.values().map(|s| s.entry.zone).collect();
     assert_eq!(zones.len(), 1_024, "a zone that the settings do not name is one of its own");
 }
 
@@ -692,11 +692,11 @@
     let old = list(&w, 2, None);
     w.node.name_service_datagram(names, &old, w.now);
     w.run();
-    assert_eq!(w.node.desk.front.fleet.servers.len(), 2, "an older list");
+    assert_eq!(w.node.engine.front.fleet.servers.len(), 2, "an older list");
     w.pass(POLL);
     let new = list(&w, 9, Some(("s-0000000a.depot-a.hosts", ip.octets(), here.port())));
     w.node.name_service_datagram("127.0.0.9:53".parse().unwrap(), &new, w.now);
-    assert_eq!(w.node.desk.front.fleet.servers.len(), 2, "from elsewhere");
+    assert_eq!(w.node.engine.front.fleet.servers.len(), 2, "from elsewhere");
     w.node.name_service_datagram(names, &new, w.now);
     w.run();
     assert_eq!(w.find("cause="), None, "the old process still has its connections");
@@ -707,7 +707,7 @@
     }
     w.pass(limits::SWEEP_INTERVAL * 2.0);
     assert_eq!(w.find("cause=41").unwrap().0, viewer);
-    assert_eq!(w.node.desk.front.fleet.servers.len(), 1, "those gone are forgotten");
+    assert_eq!(w.node.engine.front.fleet.servers.len(), 1, "those gone are forgotten");
 }
 
 /// A process that took the place of another one is met seconds before the list tells of its start. Guards against
@@ -748,8 +748,8 @@
         w.ends(conn, ConnectionEnd::Closed);
     }
     // Their loads are known, so that none is probed first.
-    for server in w.node.desk.front.fleet.servers.keys().copied().collect::<Vec<_>>() {
-        w.node.desk.report(server, &[1.0, 0.2], w.now);
+    for server in w.node.engine.front.fleet.servers.keys().copied().collect::<Vec<_>>() {
+        w.node.engine.report(server, &[1.0, 0.2], w.now);
     }
     let viewer = w.viewer();
     w.says(viewer, &wanted(1, "").replace("copies:2", "copies:1"));
@@ -885,7 +885,7 @@
             w.pass(10.0);
             account(&mut w, &mut seen)?;
         }
-        let owed = w.node.desk.hand.sessions.values().filter(|s| !s.answered).count();
+        let owed = w.node.engine.hand.sessions.values().filter(|s| !s.answered).count();
         prop_assert_eq!(owed, 0);
     }
 }
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -30,7 +30,7 @@
 #[test]
 fn lists_of_350_nodes_and_400_servers_are_taken() {
     let mut w = World::with(&told());
-    assert_eq!(w.node.desk.front.settings.front_count as usize, NODES);
+    assert_eq!(w.node.engine.front.settings.front_count as usize, NODES);
     w.pass(500.0);
     let (names, question) = w.queries.last().unwrap().clone();
     let ids: Vec<String> = (0..SERVERS).map(|n| format!("s-{n:08x}.depot-a.hosts")).collect();
@@ -40,7 +40,7 @@
     assert!(answer.len() > 8_000, "{} bytes", answer.len());
     w.node.name_service_datagram(names, &answer, w.now);
     w.run();
-    let listed = |w: &World| w.node.desk.front.fleet.servers.len();
+    let listed = |w: &World| w.node.engine.front.fleet.servers.len();
     w.pass(1_000.0);
     assert_eq!(listed(&w), SERVERS, "and those of the start are gone");
     let viewer = w.viewer();
@@ -58,7 +58,8 @@
         known_uptime_ms: 1_000.0,
     };
     let news = peers::encode(&[entry]);
-    let heard = |w: &World| w.node.desk.front.fleet.servers.values().filter(|s| s.link_use.is_some()).count();
+    let heard =
+        |w: &World| w.node.engine.front.fleet.servers.values().filter(|s| s.link_use.is_some()).count();
     let before = heard(&w);
     w.node.peer_datagram("10.9.9.9:7946".parse().unwrap(), &news, w.now);
     assert_eq!(heard(&w), before, "a stranger");
