--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,5 +1,6 @@
-//! Many instances in one process, each with a desk of its own.
-use crate::wire::{Frame, Reader, Reply, HEADER};
+//! Many instances of the decisions in one process, each with an engine of its own: decodes the records of a batch into
+//! calls of the engines and encodes their actions into the reply.
+use crate::wire::{Frame, Reader, Reply, HEADER_BYTES};
 use std::collections::BTreeMap;
 use walnutline::api::{Holders, Request, SetupOutcome};
 use walnutline::fleet::{ListEntry, ServerState};
@@ -7,238 +8,335 @@
 use walnutline::settings::PolicySettings;
 use walnutline_desk::engine::{Action, DecisionEngine};
 
+/// Codes of the records in a batch.
+mod event {
+    pub const START: u8 = 1;
+    pub const SERVER_LIST: u8 = 2;
+    pub const REQUEST: u8 = 3;
+    pub const SETUP_DONE: u8 = 4;
+    /// A SETUP failed, or the session that it led to ended.
+    pub const SETUP_ENDED: u8 = 5;
+    pub const VIEWER_LEFT: u8 = 6;
+    pub const TIMER: u8 = 7;
+    pub const PROBE_ENDED: u8 = 8;
+    pub const PEER_MESSAGE: u8 = 9;
+    pub const STOP: u8 = 10;
+    pub const RUNNING_SESSION: u8 = 11;
+    /// A page of the server list, for all instances.
+    pub const LIST_PAGE: u8 = 13;
+}
+
+/// Codes of the records in a reply.
+mod action {
+    pub const BUSY_REPLY: u8 = 2;
+    pub const SETUP: u8 = 4;
+    pub const SET_RUNG: u8 = 6;
+    pub const PROBE: u8 = 7;
+    pub const TORN_DOWN: u8 = 8;
+    pub const REQUEST_LIST: u8 = 10;
+    pub const LOG: u8 = 11;
+    pub const TIMER: u8 = 13;
+}
+
+/// How an instance gets a page of the server list. Forms without a name here are complete lists.
+mod list_form {
+    /// Entries that changed.
+    pub const CHANGES: u8 = 0;
+    /// The complete list as it was last held. It does not answer a call for the list.
+    pub const CACHED: u8 = 2;
+    /// The call for the list failed, or the stream of changes broke off.
+    pub const FAILED: u8 = 3;
+}
+
+/// What a server announces.
+mod announcement {
+    pub const DELIVERED_SHARE: u8 = 1;
+    pub const RUNG: u8 = 2;
+    pub const LINK_USE: u8 = 3;
+    pub const UPLINK_USE: u8 = 4;
+}
+
+/// The instances of the process by their numbers, and the pages of the server list that they refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, DecisionEngine>,
-    pages: BTreeMap<u16, Vec<ListEntry>>,
+    list_pages: BTreeMap<u16, Vec<ListEntry>>,
 }
 
 impl Host {
-    /// Answers one batch, or says what is wrong with it.
-    pub fn batch(&mut self, frame: &Frame) -> Result<Vec<u8>, String> {
+    /// Handles one batch and returns the reply, or the fault of the batch with its position.
+    pub fn handle_batch(&mut self, frame: &Frame) -> Result<Vec<u8>, String> {
         let mut reply = Reply::new(frame.index);
-        let mut touched = Vec::new();
-        let mut r = Reader { bytes: &frame.bytes, at: HEADER };
-        for n in 0..frame.records {
-            let start = r.at;
-            let who = self
-                .event(&mut r, frame.clock, &mut reply)
-                .map_err(|e| format!("batch {}: record {n} at byte {start}: {e}", frame.index))?;
-            if let Some(who) = who {
-                if !touched.contains(&who) {
-                    touched.push(who);
+        let mut called = Vec::new();
+        let mut reader = Reader { bytes: &frame.bytes, position: HEADER_BYTES };
+        for index in 0..frame.record_count {
+            let start = reader.position;
+            let instance = self
+                .handle_record(&mut reader, frame.now, &mut reply)
+                .map_err(|e| format!("batch {}: record {index} at byte {start}: {e}", frame.index))?;
+            if let Some(instance) = instance {
+                if !called.contains(&instance) {
+                    called.push(instance);
                 }
             }
         }
-        if r.at != frame.bytes.len() {
-            let extra = frame.bytes.len() - r.at;
-            return Err(format!("batch {}: byte {}: {extra} bytes after the last record", frame.index, r.at));
+        if reader.position != frame.bytes.len() {
+            let extra = frame.bytes.len() - reader.position;
+            return Err(format!(
+                "batch {}: byte {}: {extra} bytes after the last record",
+                frame.index, reader.position
+            ));
         }
-        for who in touched {
-            if let Some(desk) = self.instances.get_mut(&who) {
+        for instance in called {
+            if let Some(engine) = self.instances.get_mut(&instance) {
                 let mut actions = Vec::new();
-                desk.process_due(frame.clock, &mut actions);
-                write(&mut reply, who, actions);
+                engine.process_due(frame.now, &mut actions);
+                write_actions(&mut reply, instance, actions);
             }
         }
         Ok(reply.finish())
     }
 
-    /// One record; returns the instance that it was for.
-    fn event(&mut self, r: &mut Reader, now: Ms, reply: &mut Reply) -> Result<Option<u32>, String> {
-        let code_at = r.at;
-        let code = r.u8()?;
-        if code == 13 {
-            let page = r.u16()?;
-            let lines = r.u32()?;
-            let list = (0..lines).map(|_| list_line(r)).collect::<Result<_, _>>()?;
-            self.pages.insert(page, list);
+    /// Handles one record; returns the instance that it was for.
+    fn handle_record(
+        &mut self,
+        reader: &mut Reader,
+        now: Ms,
+        reply: &mut Reply,
+    ) -> Result<Option<u32>, String> {
+        let code_at = reader.position;
+        let code = reader.u8()?;
+        if code == event::LIST_PAGE {
+            let page = reader.u16()?;
+            let entry_count = reader.u32()?;
+            let entries = (0..entry_count).map(|_| read_list_entry(reader)).collect::<Result<_, _>>()?;
+            self.list_pages.insert(page, entries);
             return Ok(None);
         }
-        if !(1..=13).contains(&code) {
+        if !(event::START..=event::LIST_PAGE).contains(&code) {
             return Err(format!("byte {code_at}: unknown event code {code}"));
         }
-        let who = r.u32()?;
-        if code == 1 {
-            let seed = r.u64()?;
-            let len = r.u32()? as usize;
-            let info = std::str::from_utf8(r.take(len)?).map_err(|e| format!("settings: {e}"))?;
-            let mut terms = PolicySettings::parse(info).map_err(|e| format!("settings: {e}"))?;
-            // This adapter carries no messages between fronts.
-            terms.peer_messages_allowed = false;
-            self.instances.insert(who, DecisionEngine::new(terms, seed, now));
-            return Ok(Some(who));
+        let instance = reader.u32()?;
+        if code == event::START {
+            let seed = reader.u64()?;
+            let len = reader.u32()? as usize;
+            let text = std::str::from_utf8(reader.take(len)?).map_err(|e| format!("settings: {e}"))?;
+            let mut settings = PolicySettings::parse(text).map_err(|e| format!("settings: {e}"))?;
+            // This adapter does not deliver messages between fronts.
+            settings.peer_messages_allowed = false;
+            self.instances.insert(instance, DecisionEngine::new(settings, seed, now));
+            return Ok(Some(instance));
         }
-        let pages = &self.pages;
-        let known = self.instances.get_mut(&who);
+        let list_pages = &self.list_pages;
+        let engine = self.instances.get_mut(&instance);
         let mut actions = Vec::new();
         match code {
-            2 => {
-                let (_revision, page, form) = (r.u64()?, r.u16()?, r.u8()?);
-                if form > 3 {
+            event::SERVER_LIST => {
+                let (_revision, page, form) = (reader.u64()?, reader.u16()?, reader.u8()?);
+                if form > list_form::FAILED {
                     return Err(format!("unknown form of list {form}"));
                 }
                 let list = match form {
-                    3 => None,
-                    _ => Some(pages.get(&page).ok_or_else(|| format!("list {page} was never sent"))?),
+                    list_form::FAILED => None,
+                    _ => Some(list_pages.get(&page).ok_or_else(|| format!("list {page} was never sent"))?),
                 };
-                match (known, list) {
+                match (engine, list) {
                     (None, _) => {}
-                    (Some(i), None) => i.list_call_failed(now),
-                    (Some(i), Some(list)) => {
+                    (Some(engine), None) => engine.list_call_failed(now),
+                    (Some(engine), Some(list)) => {
                         match form {
-                            0 => list.iter().for_each(|l| i.update_server(l.clone())),
-                            _ => i.replace_server_list(list.clone()),
+                            list_form::CHANGES => {
+                                list.iter().for_each(|entry| engine.update_server(entry.clone()))
+                            }
+                            _ => engine.replace_server_list(list.clone()),
                         }
-                        // The list as it was last held answers nothing.
-                        if form != 2 {
-                            i.list_received();
+                        if form != list_form::CACHED {
+                            engine.list_received();
                         }
                     }
                 }
             }
-            3 => {
-                let id = SessionId(r.u64()?);
-                let top = r.f32()?;
-                let group = r.u16()?;
-                let (_estimate, _bits, _key, _tenant) = (r.f64()?, r.u8()?, r.u64()?, r.u32()?);
-                let (title, home, left, span) = (r.u64()?, r.f32()?, r.f64()?, r.f32()?);
-                if let Some(i) = known {
-                    let request = request(i, group, title, home, span, top, left)?;
-                    i.add_request(id, request, now, &mut actions);
+            event::REQUEST => {
+                let id = SessionId(reader.u64()?);
+                let highest_rung = reader.f32()?;
+                let group = reader.u16()?;
+                let (_estimate, _bits, _key, _tenant) =
+                    (reader.f64()?, reader.u8()?, reader.u64()?, reader.u32()?);
+                let (title, first_cell, time_left, cell_count) =
+                    (reader.u64()?, reader.f32()?, reader.f64()?, reader.f32()?);
+                if let Some(engine) = engine {
+                    let request = session_request(
+                        engine,
+                        group,
+                        title,
+                        first_cell,
+                        cell_count,
+                        highest_rung,
+                        time_left,
+                    )?;
+                    engine.add_request(id, request, now, &mut actions);
                 }
             }
-            4 => {
-                let (id, _leg, _server, _took) = (SessionId(r.u64()?), r.u16()?, r.u32()?, r.f64()?);
-                if let Some(i) = known {
-                    i.session_started(id, now);
+            event::SETUP_DONE => {
+                let (id, _leg, _server, _took) =
+                    (SessionId(reader.u64()?), reader.u16()?, reader.u32()?, reader.f64()?);
+                if let Some(engine) = engine {
+                    engine.session_started(id, now);
                 }
             }
-            5 => {
-                let (id, how, server, over) = (SessionId(r.u64()?), r.u16()?, ServerId(r.u32()?), r.u8()?);
-                let (_took, _leg) = (r.f64()?, r.u16()?);
-                let load = values(r)?;
-                let ending = ending(how)?;
-                if let Some(i) = known {
-                    i.after_outcome(id, ending, over != 0, now, &mut actions);
-                    i.record_report(server, &load, now);
+            event::SETUP_ENDED => {
+                let (id, code, server, is_over) =
+                    (SessionId(reader.u64()?), reader.u16()?, ServerId(reader.u32()?), reader.u8()?);
+                let (_took, _leg) = (reader.f64()?, reader.u16()?);
+                let load = read_values(reader)?;
+                let outcome = parse_outcome(code)?;
+                if let Some(engine) = engine {
+                    engine.after_outcome(id, outcome, is_over != 0, now, &mut actions);
+                    engine.record_report(server, &load, now);
                 }
             }
-            6 => {
-                let id = SessionId(r.u64()?);
-                if let Some(i) = known {
-                    i.viewer_left(id);
+            event::VIEWER_LEFT => {
+                let id = SessionId(reader.u64()?);
+                if let Some(engine) = engine {
+                    engine.viewer_left(id);
                 }
             }
-            7 => {
-                let _name = r.u64()?;
-                if let Some(i) = known {
-                    i.timer_fired(now);
+            event::TIMER => {
+                let _name = reader.u64()?;
+                if let Some(engine) = engine {
+                    engine.timer_fired(now);
                 }
             }
-            8 => {
-                let (server, how, _took) = (ServerId(r.u32()?), r.u16()?, r.f64()?);
-                let load = values(r)?;
-                let ending = ending(how)?;
-                if let Some(i) = known {
-                    i.record_report(server, &load, now);
-                    i.probe_finished(server, ending, now);
+            event::PROBE_ENDED => {
+                let (server, code, _took) = (ServerId(reader.u32()?), reader.u16()?, reader.f64()?);
+                let load = read_values(reader)?;
+                let outcome = parse_outcome(code)?;
+                if let Some(engine) = engine {
+                    engine.record_report(server, &load, now);
+                    engine.probe_finished(server, outcome, now);
                 }
             }
-            9 => {
-                let (_from, n) = (r.u32()?, r.u16()? as usize);
-                r.take(n)?;
+            event::PEER_MESSAGE => {
+                let (_from, len) = (reader.u32()?, reader.u16()? as usize);
+                reader.take(len)?;
             }
-            10 => {
-                self.instances.remove(&who);
+            event::STOP => {
+                self.instances.remove(&instance);
             }
-            11 => {
-                let (id, group, _tenant, _key) = (SessionId(r.u64()?), r.u16()?, r.u32()?, r.u64()?);
-                let (title, left, _estimate) = (r.u64()?, r.f64()?, r.f64()?);
-                let (home, span, top, _bits) = (r.f32()?, r.f32()?, r.f32()?, r.u8()?);
-                let server = ServerId(r.u32()?);
-                if let Some(i) = known {
-                    let request = request(i, group, title, home, span, top, left)?;
-                    i.add_running_session(id, request, server, now);
+            event::RUNNING_SESSION => {
+                let (id, group, _tenant, _key) =
+                    (SessionId(reader.u64()?), reader.u16()?, reader.u32()?, reader.u64()?);
+                let (title, time_left, _estimate) = (reader.u64()?, reader.f64()?, reader.f64()?);
+                let (first_cell, cell_count, highest_rung, _bits) =
+                    (reader.f32()?, reader.f32()?, reader.f32()?, reader.u8()?);
+                let server = ServerId(reader.u32()?);
+                if let Some(engine) = engine {
+                    let request = session_request(
+                        engine,
+                        group,
+                        title,
+                        first_cell,
+                        cell_count,
+                        highest_rung,
+                        time_left,
+                    )?;
+                    engine.add_running_session(id, request, server, now);
                 }
             }
+            // The one code that is left, 12: a server announces a value without being asked.
             _ => {
-                let (id, server, sort) = (SessionId(r.u64()?), ServerId(r.u32()?), r.u8()?);
-                let (_leg, x) = (r.u16()?, r.f32()? as f64);
-                if let Some(i) = known {
-                    match sort {
-                        1 => i.record_delivered_share(server, x, now),
-                        2 => i.set_rung(id, x as u8),
-                        3 => i.record_link_use(server, x, now),
-                        4 => i.record_uplink_use(server, x, now),
-                        _ => return Err(format!("unknown kind of note {sort}")),
+                let (id, server, kind) = (SessionId(reader.u64()?), ServerId(reader.u32()?), reader.u8()?);
+                let (_leg, value) = (reader.u16()?, reader.f32()? as f64);
+                if let Some(engine) = engine {
+                    match kind {
+                        announcement::DELIVERED_SHARE => engine.record_delivered_share(server, value, now),
+                        announcement::RUNG => engine.set_rung(id, value as u8),
+                        announcement::LINK_USE => engine.record_link_use(server, value, now),
+                        announcement::UPLINK_USE => engine.record_uplink_use(server, value, now),
+                        _ => return Err(format!("unknown kind of note {kind}")),
                     }
                 }
             }
         }
-        write(reply, who, actions);
-        Ok(Some(who))
+        write_actions(reply, instance, actions);
+        Ok(Some(instance))
     }
 }
 
-fn request(
-    desk: &DecisionEngine,
+/// The request of a session record. Fails if its service group is not in the settings of the instance.
+fn session_request(
+    engine: &DecisionEngine,
     group: u16,
     title: u64,
-    home: f32,
-    span: f32,
-    top: f32,
-    left: Ms,
+    first_cell: f32,
+    cell_count: f32,
+    highest_rung: f32,
+    time_left: Ms,
 ) -> Result<Request, String> {
-    if group as usize >= desk.state.settings.service_groups.len() {
+    if group as usize >= engine.state.settings.service_groups.len() {
         return Err(format!("class {group} is not in the settings"));
     }
     Ok(Request {
         group: GroupIndex(group),
         title: TitleId(title),
-        holders: Holders::Cells { first: CellId(home as u32), count: span as u32 },
+        holders: Holders::Cells { first: CellId(first_cell as u32), count: cell_count as u32 },
         rates_kb_per_s: None,
-        highest_rung: top as u8,
-        time_left: left,
+        highest_rung: highest_rung as u8,
+        time_left,
     })
 }
 
-fn write(reply: &mut Reply, who: u32, actions: Vec<Action>) {
+/// Encodes the actions of an instance.
+fn write_actions(reply: &mut Reply, instance: u32, actions: Vec<Action>) {
     for action in actions {
         match action {
             Action::Setup { id, server, rung, timeout } => {
                 let id = id.0.to_le_bytes();
-                reply.record(6, who).put(&id).put(&[rung]);
-                reply.record(4, who).put(&id).put(&timeout.to_le_bytes()).put(&server.0.to_le_bytes());
+                reply.start_record(action::SET_RUNG, instance).append(&id).append(&[rung]);
+                reply
+                    .start_record(action::SETUP, instance)
+                    .append(&id)
+                    .append(&timeout.to_le_bytes())
+                    .append(&server.0.to_le_bytes());
             }
             Action::SetRung { id, rung } => {
-                reply.record(6, who).put(&id.0.to_le_bytes()).put(&[rung]);
+                reply.start_record(action::SET_RUNG, instance).append(&id.0.to_le_bytes()).append(&[rung]);
             }
             Action::Probe { server } => {
-                reply.record(7, who).put(&server.0.to_le_bytes());
+                reply.start_record(action::PROBE, instance).append(&server.0.to_le_bytes());
             }
             Action::BusyReply { id, retry_after } => {
                 let retry_after = retry_after.unwrap_or(0.0).to_le_bytes();
-                reply.record(2, who).put(&id.0.to_le_bytes()).put(&retry_after);
+                reply
+                    .start_record(action::BUSY_REPLY, instance)
+                    .append(&id.0.to_le_bytes())
+                    .append(&retry_after);
             }
             Action::TornDown { id } => {
-                reply.record(8, who).put(&id.0.to_le_bytes());
+                reply.start_record(action::TORN_DOWN, instance).append(&id.0.to_le_bytes());
             }
             Action::SendPeerReports(_) => {}
             Action::RequestList => {
-                reply.record(10, who).put(&[1]);
+                reply.start_record(action::REQUEST_LIST, instance).append(&[1]);
             }
             Action::Log(line) => {
-                reply.record(11, who).put(&(line.len() as u16).to_le_bytes()).put(line.as_bytes());
+                reply
+                    .start_record(action::LOG, instance)
+                    .append(&(line.len() as u16).to_le_bytes())
+                    .append(line.as_bytes());
             }
-            Action::CallAt(t) => {
-                reply.record(13, who).put(&0u64.to_le_bytes()).put(&t.to_le_bytes());
+            Action::CallAt(at) => {
+                reply
+                    .start_record(action::TIMER, instance)
+                    .append(&0u64.to_le_bytes())
+                    .append(&at.to_le_bytes());
             }
         }
     }
 }
 
-fn ending(code: u16) -> Result<SetupOutcome, String> {
+/// The outcome that a code stands for.
+fn parse_outcome(code: u16) -> Result<SetupOutcome, String> {
     Ok(match code {
         0 => SetupOutcome::Errored,
         1 => SetupOutcome::Done,
@@ -252,29 +350,31 @@
     })
 }
 
-fn list_line(r: &mut Reader) -> Result<ListEntry, String> {
-    let (id, zone, kind, cell) = (r.u32()?, r.u8()?, r.u8()?, r.u16()?);
-    let listing = match r.u8()? {
+/// Reads an entry of the server list. A start time of 0 stands for one that is not known.
+fn read_list_entry(reader: &mut Reader) -> Result<ListEntry, String> {
+    let (id, zone, kind, cell) = (reader.u32()?, reader.u8()?, reader.u8()?, reader.u16()?);
+    let state = match reader.u8()? {
         0 => ServerState::Draining,
         1 => ServerState::Ready,
         2 => ServerState::Gone,
-        other => return Err(format!("byte {}: unknown availability {other}", r.at - 1)),
+        other => return Err(format!("byte {}: unknown availability {other}", reader.position - 1)),
     };
-    let (weight, started) = (r.f32()? as f64, r.f64()?);
+    let (weight, started_at) = (reader.f32()? as f64, reader.f64()?);
     Ok(ListEntry {
         id: ServerId(id),
         zone: ZoneIndex(zone.into()),
         kind: KindIndex(kind),
         cell: CellId(cell as u32),
-        state: listing,
+        state,
         weight,
-        started_at: (started != 0.0).then_some(started),
+        started_at: (started_at != 0.0).then_some(started_at),
     })
 }
 
-fn values(r: &mut Reader) -> Result<Vec<f64>, String> {
-    let n = r.u8()?;
-    (0..n).map(|_| Ok(r.f32()? as f64)).collect()
+/// Reads the values of a load report, in the order of the settings' report columns.
+fn read_values(reader: &mut Reader) -> Result<Vec<f64>, String> {
+    let count = reader.u8()?;
+    (0..count).map(|_| Ok(reader.f32()? as f64)).collect()
 }
 
 #[cfg(test)]
@@ -286,9 +386,9 @@
     #[test_case(&[3, 1, 0] => "batch 5: record 0 at byte 20: byte 21: 4 bytes wanted, 2 left"; "cut short")]
     #[test_case(&[2, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 4, 0, 2]
         => "batch 5: record 0 at byte 20: list 4 was never sent"; "list never sent")]
-    fn what_is_wrong_in_a_batch_is_named(record: &[u8]) -> String {
-        let bytes = [&[0; HEADER], record].concat();
-        Host::default().batch(&Frame { index: 5, clock: 0.0, records: 1, bytes }).unwrap_err()
+    fn the_fault_of_a_batch_is_named_with_its_position(record: &[u8]) -> String {
+        let bytes = [&[0; HEADER_BYTES], record].concat();
+        Host::default().handle_batch(&Frame { index: 5, now: 0.0, record_count: 1, bytes }).unwrap_err()
     }
 
     const SETTINGS: &str = "classes.count=1\nclasses.0.aim=800\nclasses.0.worth=1\nclasses.0.repeat=repeatable\n\
@@ -296,31 +396,34 @@
         family_info.kind_streams=20\nfamily_info.link_unit_kb=1000\nfamily_info.uplink_kb=4000\n\
         limits.attempts_cap=3\nregistry_mode=ask\nsafety.ask_every=10000\n";
 
-    /// The answer to one batch of these records: whether it asks to follow the list (`track`).
-    fn tracks(host: &mut Host, clock: Ms, records: &[&[u8]]) -> bool {
-        let bytes = [&[0; HEADER], records.concat().as_slice()].concat();
-        let frame = Frame { index: 1, clock, records: records.len() as u32, bytes };
-        host.batch(&frame).unwrap().windows(6).any(|w| w == [10, 1, 0, 0, 0, 1])
+    /// Handles one batch of these records; returns whether the reply requests the list.
+    fn requests_list(host: &mut Host, now: Ms, records: &[&[u8]]) -> bool {
+        let bytes = [&[0; HEADER_BYTES], records.concat().as_slice()].concat();
+        let frame = Frame { index: 1, now, record_count: records.len() as u32, bytes };
+        host.handle_batch(&frame).unwrap().windows(6).any(|window| window == [10, 1, 0, 0, 0, 1])
     }
 
-    /// Guards against a front that lives on the list of its start: what drains is never told to it.
+    /// Guards against a front that keeps using the list of its start and is never informed of draining servers.
     #[test]
-    fn a_list_that_must_be_asked_for_is_followed_and_asked_for_again_after_a_failure() {
+    fn a_watched_list_is_requested_once_and_once_more_after_each_failure() {
         let mut host = Host::default();
         let start =
             [&[1, 1, 0, 0, 0][..], &7u64.to_le_bytes(), &(SETTINGS.len() as u32).to_le_bytes()].concat();
         let start = [&start, SETTINGS.as_bytes()].concat();
         let page = [13, 0, 0, 0, 0, 0, 0];
-        let told = |form: u8| [&[2, 1, 0, 0, 0][..], &[0; 10], &[form]].concat();
-        let bell = [&[7, 1, 0, 0, 0][..], &[0; 8]].concat();
-        let (cached, whole, failed) = (told(2), told(1), told(3));
-        assert!(!tracks(&mut host, 0.0, &[&start, &page, &cached]), "not at the very start");
-        assert!(tracks(&mut host, 2_500.0, &[&bell]));
-        assert!(!tracks(&mut host, 2_600.0, &[&failed]), "not at once");
-        assert!(tracks(&mut host, 3_400.0, &[&bell]));
-        assert!(!tracks(&mut host, 3_500.0, &[&page, &whole]));
-        assert!(!tracks(&mut host, 60_000.0, &[&bell]), "it is followed");
-        assert!(!tracks(&mut host, 60_100.0, &[&failed]), "not at once");
-        assert!(tracks(&mut host, 61_000.0, &[&bell]), "it broke off");
+        let list = |form: u8| [&[2, 1, 0, 0, 0][..], &[0; 10], &[form]].concat();
+        let timer = [&[7, 1, 0, 0, 0][..], &[0; 8]].concat();
+        let (cached, complete, failed) = (list(2), list(1), list(3));
+        assert!(!requests_list(&mut host, 0.0, &[&start, &page, &cached]), "requested at the very start");
+        assert!(requests_list(&mut host, 2_500.0, &[&timer]));
+        assert!(!requests_list(&mut host, 2_600.0, &[&failed]), "requested at once");
+        assert!(requests_list(&mut host, 3_400.0, &[&timer]));
+        assert!(!requests_list(&mut host, 3_500.0, &[&page, &complete]));
+        assert!(!requests_list(&mut host, 60_000.0, &[&timer]), "requested although the list is watched");
+        assert!(!requests_list(&mut host, 60_100.0, &[&failed]), "requested at once");
+        assert!(
+            requests_list(&mut host, 61_000.0, &[&timer]),
+            "not requested after the stream of changes broke off"
+        );
     }
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,49 +1,55 @@
-//! Bytes of the wire: little-endian, no padding.
+//! Framing of the wire protocol: batches of records in, replies out; little-endian, without padding.
 use std::io::Read;
 
-/// One batch as it was read.
+/// A batch of records as it was read.
 pub struct Frame {
+    /// Number of the batch.
     pub index: u32,
-    pub clock: f64,
-    pub records: u32,
-    /// The whole frame, header included, so that positions are those of the frame.
+    /// Simulated time of the batch in milliseconds.
+    pub now: f64,
+    /// Number of records after the header.
+    pub record_count: u32,
+    /// The whole frame with its header, so that positions in errors count from the start of the frame.
     pub bytes: Vec<u8>,
 }
 
-pub const HEADER: usize = 20;
+/// Size of a frame's header: index, length, time and number of records.
+pub const HEADER_BYTES: usize = 20;
 
-/// Reads a frame; `None` at a clean end of input.
+/// Reads a frame; `None` if the input ends before it.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, String> {
-    let mut bytes = vec![0; HEADER];
-    let got = fill(input, &mut bytes)?;
+    let mut bytes = vec![0; HEADER_BYTES];
+    let got = read_up_to(input, &mut bytes)?;
     if got == 0 {
         return Ok(None);
     }
-    if got < HEADER {
+    if got < HEADER_BYTES {
         return Err(format!("input ends at byte {got} of a frame's header"));
     }
-    let mut r = Reader { bytes: &bytes, at: 0 };
-    let (index, len, clock, records) = (r.u32()?, r.u32()? as usize, r.f64()?, r.u32()?);
-    if len < HEADER {
-        return Err(format!("batch {index}: byte 4: length {len} is under a header's {HEADER}"));
+    let mut reader = Reader { bytes: &bytes, position: 0 };
+    let (index, len, now, record_count) =
+        (reader.u32()?, reader.u32()? as usize, reader.f64()?, reader.u32()?);
+    if len < HEADER_BYTES {
+        return Err(format!("batch {index}: byte 4: length {len} is under a header's {HEADER_BYTES}"));
     }
-    if !clock.is_finite() {
-        return Err(format!("batch {index}: byte 8: clock {clock} is no time"));
+    if !now.is_finite() {
+        return Err(format!("batch {index}: byte 8: clock {now} is no time"));
     }
     let rest = input
-        .take((len - HEADER) as u64)
+        .take((len - HEADER_BYTES) as u64)
         .read_to_end(&mut bytes)
         .map_err(|e| format!("batch {index}: standard input: {e}"))?;
-    if rest < len - HEADER {
-        return Err(format!("batch {index}: input ends at byte {} of {len}", HEADER + rest));
+    if rest < len - HEADER_BYTES {
+        return Err(format!("batch {index}: input ends at byte {} of {len}", HEADER_BYTES + rest));
     }
-    Ok(Some(Frame { index, clock, records, bytes }))
+    Ok(Some(Frame { index, now, record_count, bytes }))
 }
 
-fn fill(input: &mut impl Read, into: &mut [u8]) -> Result<usize, String> {
+/// Fills the buffer unless the input ends before; returns how many bytes were read.
+fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, String> {
     let mut got = 0;
-    while got < into.len() {
-        match input.read(&mut into[got..]) {
+    while got < buffer.len() {
+        match input.read(&mut buffer[got..]) {
             Ok(0) => break,
             Ok(n) => got += n,
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
@@ -53,54 +59,64 @@
     Ok(got)
 }
 
+/// Reads values from a frame one after the other.
 pub struct Reader<'a> {
     pub bytes: &'a [u8],
-    pub at: usize,
+    /// Where the next value starts.
+    pub position: usize,
 }
 
-macro_rules! number {
-    ($($name:ident: $of:ty),*) => {$(
-        pub fn $name(&mut self) -> Result<$of, String> {
-            let raw = self.take(std::mem::size_of::<$of>())?;
-            Ok(<$of>::from_le_bytes(raw.try_into().expect("as many bytes as were asked")))
+macro_rules! number_readers {
+    ($($name:ident: $type:ty),*) => {$(
+        pub fn $name(&mut self) -> Result<$type, String> {
+            let raw = self.take(std::mem::size_of::<$type>())?;
+            Ok(<$type>::from_le_bytes(raw.try_into().expect("as many bytes as requested")))
         }
     )*};
 }
 
 impl<'a> Reader<'a> {
-    number!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32, f64: f64);
+    number_readers!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32, f64: f64);
 
+    /// Takes the next `n` bytes.
     pub fn take(&mut self, n: usize) -> Result<&'a [u8], String> {
-        match self.at.checked_add(n).and_then(|end| self.bytes.get(self.at..end)) {
+        match self.position.checked_add(n).and_then(|end| self.bytes.get(self.position..end)) {
             Some(raw) => {
-                self.at += n;
+                self.position += n;
                 Ok(raw)
             }
-            None => Err(format!("byte {}: {n} bytes wanted, {} left", self.at, self.bytes.len() - self.at)),
+            None => Err(format!(
+                "byte {}: {n} bytes wanted, {} left",
+                self.position,
+                self.bytes.len() - self.position
+            )),
         }
     }
 }
 
-/// A reply under way.
+/// The reply to a batch while it is being encoded.
 pub struct Reply(Vec<u8>);
 
 impl Reply {
+    /// Starts the reply to the batch with this number.
     pub fn new(index: u32) -> Self {
         let mut bytes = index.to_le_bytes().to_vec();
         bytes.extend([0; 4]);
         Reply(bytes)
     }
 
-    pub fn record(&mut self, code: u8, who: u32) -> &mut Self {
+    /// Starts a record for an instance; its content is appended.
+    pub fn start_record(&mut self, code: u8, instance: u32) -> &mut Self {
         self.0.push(code);
-        self.put(&who.to_le_bytes())
+        self.append(&instance.to_le_bytes())
     }
 
-    pub fn put(&mut self, raw: &[u8]) -> &mut Self {
+    pub fn append(&mut self, raw: &[u8]) -> &mut Self {
         self.0.extend(raw);
         self
     }
 
+    /// Writes the length into the header and returns the bytes.
     pub fn finish(mut self) -> Vec<u8> {
         let len = self.0.len() as u32;
         self.0[4..8].copy_from_slice(&len.to_le_bytes());
@@ -120,7 +136,7 @@
     #[test_case(&[1, 0, 0, 0, 22, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 7]
         => Err("batch 1: input ends at byte 21 of 22".into()); "short body")]
     #[test_case(&[1, 0, 0, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0] => Ok(true); "empty batch")]
-    fn a_frame_is_read_whole_or_named_wrong(bytes: &[u8]) -> Result<bool, String> {
+    fn a_frame_is_read_or_its_fault_is_named(bytes: &[u8]) -> Result<bool, String> {
         read_frame(&mut &bytes[..]).map(|frame| frame.is_some())
     }
 }
