--- a/crates/desk/src/connection.rs
+++ b/crates/desk/src/connection.rs
@@ -31,15 +31,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ConnectionState {
     /// There is none, and no attempt is made before this time unless a probe is to be sent.
-    Idle {
-        until: Ms,
-    },
-    Connecting {
-        conn: u64,
-    },
-    Open {
-        conn: u64,
-    },
+    Idle { until: Ms },
+    /// One is being opened.
+    Connecting { conn: u64 },
+    /// One is open.
+    Open { conn: u64 },
 }
 
 /// What became of a request that was to be sent.
--- a/crates/desk/tests/session_manager.rs
+++ b/crates/desk/tests/session_manager.rs
@@ -381,7 +381,13 @@
         environment.process_due();
         for (id, (arrived_at, ..)) in &environment.requests {
             match environment.answers.get(id) {
-                Some((_, at)) => prop_assert!(*at <= arrived_at + VIEWER_WAIT, "{id:?} answered after {}", at - arrived_at),
+                Some((_, at)) => {
+                    prop_assert!(
+                        *at <= arrived_at + VIEWER_WAIT,
+                        "{id:?} answered after {}",
+                        at - arrived_at
+                    )
+                }
                 None => prop_assert!(environment.viewers_left.contains(id), "{id:?} has no answer"),
             }
         }
