--- a/crates/front/src/body.rs
+++ b/crates/front/src/body.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use walnutline_desk::session_manager::Timeouts;
+use walnutline_sessions::session_manager::Timeouts;
 
 /// Longest header of an answer.
 const HEADER: usize = 16 * 1024;
--- a/crates/front/src/boxes.rs
+++ b/crates/front/src/boxes.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use walnutline::ids::ServerId;
 use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
-use walnutline_desk::session_manager::{LoadReport, ResponseStatus, ServerMessage, ServerRequest};
+use walnutline_sessions::session_manager::{LoadReport, ResponseStatus, ServerMessage, ServerRequest};
 
 pub enum Out {
     Ask {
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -17,8 +17,8 @@
 use walnutline_catalogue::{change_json, follower, retention, snapshot};
 use walnutline_catalogue_store::{write_snapshot, SnapshotWriter, Store, StoreError};
 use walnutline_control::event_stream::{Event, EventReader};
-use walnutline_desk::backoff::Backoff;
-use walnutline_desk::session_manager::Timeouts;
+use walnutline_sessions::backoff::Backoff;
+use walnutline_sessions::session_manager::Timeouts;
 use walnutline_settings::CatalogueTerms;
 
 /// Bytes of a snapshot that are worked at in one piece.
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -14,10 +14,10 @@
 use walnutline_catalogue::advisor::RequestAdvisor;
 use walnutline_catalogue::differences::ComparedRequest;
 use walnutline_catalogue::version::Version;
-use walnutline_desk::session_manager::{
+use walnutline_gate::claims::SessionClaims;
+use walnutline_sessions::session_manager::{
     Answer, IoAction, ServerEndpoint, ServerMessage, SessionManager, SessionRequest, Timeouts,
 };
-use walnutline_gate::claims::SessionClaims;
 
 /// Events handled before what they lead to goes out.
 const ROUND: usize = 256;
--- a/crates/front/src/list.rs
+++ b/crates/front/src/list.rs
@@ -11,9 +11,9 @@
 use walnutline::ids::{CellId, KindIndex, ServerId, ZoneIndex};
 use walnutline_control::box_list::{self, BoxEntry, BoxState};
 use walnutline_control::event_stream::{Event, EventReader};
-use walnutline_desk::backoff::Backoff;
-use walnutline_desk::list_sequence::{EventKind, ListSequence, Verdict};
-use walnutline_desk::session_manager::{ServerEndpoint, Timeouts};
+use walnutline_sessions::backoff::Backoff;
+use walnutline_sessions::list_sequence::{EventKind, ListSequence, Verdict};
+use walnutline_sessions::session_manager::{ServerEndpoint, Timeouts};
 
 pub fn start(
     shared: Arc<Shared>,
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -15,9 +15,9 @@
 use walnutline::ids::{GroupIndex, ServerId, SessionId, TitleId};
 use walnutline_catalogue::advisor;
 use walnutline_catalogue::version::Version;
-use walnutline_desk::session_manager::SessionRequest;
 use walnutline_gate::authorization::Refusal;
 use walnutline_gate::claims::ViewerClaims;
+use walnutline_sessions::session_manager::SessionRequest;
 
 /// What the answering coroutine of a connection is told.
 pub enum Msg {
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -27,11 +27,11 @@
 use walnutline::api::SetupOutcome;
 use walnutline::ids::{Ms, ServerId, SessionId};
 use walnutline::settings::{ListDelivery, PolicySettings};
-use walnutline_desk::engine::{Action, DecisionEngine};
-use walnutline_desk::stall_detector::StallDetector;
-use walnutline_desk::timer_queue::TimerQueue;
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::viewer::{self, SetupRequest};
+use walnutline_sessions::engine::{Action, DecisionEngine};
+use walnutline_sessions::stall_detector::StallDetector;
+use walnutline_sessions::timer_queue::TimerQueue;
 
 /// A SETUP that was sent and not answered, or that waits for its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -7,10 +7,10 @@
 use walnutline::api::SetupOutcome;
 use walnutline::fleet::ServerState;
 use walnutline::ids::{Ms, ServerId, SessionId};
-use walnutline_desk::backoff::Backoff;
 use walnutline_platform::headers;
 use walnutline_platform::rtsp::MessageReader;
 use walnutline_platform::server;
+use walnutline_sessions::backoff::Backoff;
 
 pub(super) struct Server {
     pub name: String,
--- a/crates/node/src/core/server_list.rs
+++ b/crates/node/src/core/server_list.rs
@@ -8,9 +8,9 @@
 use walnutline::api::SetupOutcome;
 use walnutline::fleet::{ListEntry, ServerState};
 use walnutline::ids::{CellId, KindIndex, Ms, ServerId, SessionId, ZoneIndex};
-use walnutline_desk::backoff::Backoff;
 use walnutline_platform::configuration::Configuration;
 use walnutline_platform::{discovery, ServerRecord};
+use walnutline_sessions::backoff::Backoff;
 
 pub(super) struct NameService {
     address: SocketAddr,
--- a/crates/desk/tests/session_manager.rs
+++ b/crates/sessions/tests/session_manager.rs
@@ -8,7 +8,7 @@
 use walnutline::settings::{
     ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, RetryBudget, ServiceGroup, WeightKind,
 };
-use walnutline_desk::session_manager::*;
+use walnutline_sessions::session_manager::*;
 
 const BOX_COUNT: u32 = 4;
 const TIMEOUTS: Timeouts =
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -10,10 +10,10 @@
 };
 use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
-use walnutline_desk::session_manager::Timeouts;
 use walnutline_gate::authorization::AuthorizationPolicy;
 use walnutline_gate::keys::{KeyEntry, KeySet};
 use walnutline_gate::UnixMs;
+use walnutline_sessions::session_manager::Timeouts;
 
 /// Faults by their place in the text.
 #[derive(Default)]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,9 +11,9 @@
 use walnutline::settings::PolicySettings;
 use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{SigningKey, VerifyingKey};
-use walnutline_desk::session_manager::Timeouts;
 use walnutline_gate::authorization::AuthorizationPolicy;
 use walnutline_gate::keys::KeySet;
+use walnutline_sessions::session_manager::Timeouts;
 
 /// All that one front is told at its start.
 pub struct Deployment {
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -6,7 +6,7 @@
 use walnutline::fleet::{ListEntry, ServerState};
 use walnutline::ids::{CellId, GroupIndex, KindIndex, Ms, ServerId, SessionId, TitleId, ZoneIndex};
 use walnutline::settings::PolicySettings;
-use walnutline_desk::engine::{Action, DecisionEngine};
+use walnutline_sessions::engine::{Action, DecisionEngine};
 
 /// Codes of the records in a batch.
 mod event {
