--- a/crates/cli/src/token.rs
+++ b/crates/cli/src/token.rs
@@ -1,8 +1,8 @@
 //! `walnutline token`: keys and tokens, for the publisher of notices and for trying a front by hand.
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
+use walnutline_auth::claims::{ProofClaims, ViewerClaims};
 use walnutline_dash::{decode_base64url, encode_base64url, proof, token, token_hash, SigningKey};
-use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 #[derive(clap::Subcommand)]
 pub enum Command {
--- a/crates/cli/tests/path.rs
+++ b/crates/cli/tests/path.rs
@@ -101,7 +101,7 @@
     let (phone, front) = (Phone::new(10), p.front.address);
     let before = setups(&p.log).len();
     let good = phone.claims("water", &[0]);
-    let changed = |change: fn(&mut walnutline_gate::claims::ViewerClaims)| {
+    let changed = |change: fn(&mut walnutline_auth::claims::ViewerClaims)| {
         let mut c = good.clone();
         change(&mut c);
         mint(&c)
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -7,11 +7,11 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use walnutline_auth::claims::{ProofClaims, ViewerClaims};
 use walnutline_control::box_list::{self, BoxEntry, BoxList, BoxState};
 use walnutline_control::event_stream::{self, Event};
 use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
-use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Longest that anything here is waited for.
 pub const LONG: Duration = Duration::from_secs(20);
--- a/crates/dash/src/proof.rs
+++ b/crates/dash/src/proof.rs
@@ -3,8 +3,8 @@
 use crate::{decode_base64url, encode_base64url};
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
-use walnutline_gate::authorization::Refusal;
-use walnutline_gate::claims::ProofClaims;
+use walnutline_auth::authorization::Refusal;
+use walnutline_auth::claims::ProofClaims;
 
 /// Longest proof that is accepted, in its encoded form.
 pub const MAX_PROOF_BYTES: usize = 2_048;
--- a/crates/dash/src/token.rs
+++ b/crates/dash/src/token.rs
@@ -6,10 +6,10 @@
 use ciborium::Value;
 use coset::{iana, CborSerializable, CoseSign1, CoseSign1Builder, HeaderBuilder, TaggedCborSerializable};
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
-use walnutline_gate::authorization::Refusal;
-use walnutline_gate::claims::{SessionClaims, ViewerClaims};
-use walnutline_gate::keys::KeyLookupError;
-use walnutline_gate::UnixMs;
+use walnutline_auth::authorization::Refusal;
+use walnutline_auth::claims::{SessionClaims, ViewerClaims};
+use walnutline_auth::keys::KeyLookupError;
+use walnutline_auth::UnixMs;
 
 /// Longest token that is accepted, in its encoded form.
 pub const MAX_TOKEN_BYTES: usize = 2_048;
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -2,8 +2,8 @@
 use crate::http::Response;
 use crate::hub::{Plays, Reply};
 use crate::Shared;
+use walnutline_auth::authorization::Refusal;
 use walnutline_dash::mpd;
-use walnutline_gate::authorization::Refusal;
 
 pub fn write(shared: &Shared, reply: &Reply) -> Response {
     match reply {
--- a/crates/front/src/door.rs
+++ b/crates/front/src/door.rs
@@ -1,11 +1,11 @@
 //! Checks a viewer's token and proof by the codecs and asks the gate for its verdict; mints sessions' tokens.
 use arc_swap::ArcSwap;
 use std::sync::Mutex;
+use walnutline_auth::authorization::{AuthorizationPolicy, Refusal, RequestContext};
+use walnutline_auth::claims::{SessionClaims, ViewerClaims};
+use walnutline_auth::keys::KeySet;
+use walnutline_auth::replay::ReplayCache;
 use walnutline_dash::{proof, proof_digest, token, token_hash, SigningKey, VerifyingKey};
-use walnutline_gate::authorization::{AuthorizationPolicy, Refusal, RequestContext};
-use walnutline_gate::claims::{SessionClaims, ViewerClaims};
-use walnutline_gate::keys::KeySet;
-use walnutline_gate::replay::ReplayCache;
 
 pub struct Door {
     terms: AuthorizationPolicy,
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use walnutline::ids::{ServerId, SessionId};
 use walnutline::settings::PolicySettings;
+use walnutline_auth::claims::SessionClaims;
 use walnutline_catalogue::advisor::RequestAdvisor;
 use walnutline_catalogue::differences::ComparedRequest;
 use walnutline_catalogue::version::Version;
-use walnutline_gate::claims::SessionClaims;
 use walnutline_sessions::session_manager::{
     Answer, IoAction, ServerEndpoint, ServerMessage, SessionManager, SessionRequest, Timeouts,
 };
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -13,10 +13,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use walnutline::ids::{GroupIndex, ServerId, SessionId, TitleId};
+use walnutline_auth::authorization::Refusal;
+use walnutline_auth::claims::ViewerClaims;
 use walnutline_catalogue::advisor;
 use walnutline_catalogue::version::Version;
-use walnutline_gate::authorization::Refusal;
-use walnutline_gate::claims::ViewerClaims;
 use walnutline_sessions::session_manager::SessionRequest;
 
 /// What the answering coroutine of a connection is told.
--- a/crates/front/tests/stack.rs
+++ b/crates/front/tests/stack.rs
@@ -2,9 +2,9 @@
 //! longest proof, a manifest of a long ladder. All of it has to fit a quarter of the daemon's stack, in the
 //! unoptimised build too, which takes more.
 use may::coroutine::Builder;
+use walnutline_auth::claims::{ProofClaims, ViewerClaims};
+use walnutline_auth::keys::KeyLookupError;
 use walnutline_dash::{encode_base64url, mpd, proof, token, SigningKey};
-use walnutline_gate::claims::{ProofClaims, ViewerClaims};
-use walnutline_gate::keys::KeyLookupError;
 
 fn claims() -> ViewerClaims {
     ViewerClaims {
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -12,9 +12,9 @@
 use std::net::{Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
+use walnutline_auth::keys::KeyLookupError;
 use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_dash::{token, VerifyingKey};
-use walnutline_gate::keys::KeyLookupError;
 
 /// A session for which no segment is asked in this time is over.
 const UNWATCHED: f64 = 4_000.0;
@@ -283,7 +283,7 @@
             front.set(Some(*no));
             Ok(*key)
         });
-        let good = |c: &walnutline_gate::claims::SessionClaims| {
+        let good = |c: &walnutline_auth::claims::SessionClaims| {
             c.session == session && c.server == self.server && c.expires_at > self.common.depot.seen.now()
         };
         claims.ok().filter(good).and(front.get())
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
+use walnutline_auth::claims::{ProofClaims, ViewerClaims};
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
-use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
 /// Habits, from the briefs' ranges: how many come again after a break or busy reply, and when; how often; how
 /// many leave before their answer; the share under which a viewer begins to leave.
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -8,11 +8,11 @@
     ColdStartSettings, KeyScope, ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, RetryBudget,
     ServiceGroup as TermsGroup, WeightKind,
 };
+use walnutline_auth::authorization::AuthorizationPolicy;
+use walnutline_auth::keys::{KeyEntry, KeySet};
+use walnutline_auth::UnixMs;
 use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{decode_base64url, SigningKey, VerifyingKey};
-use walnutline_gate::authorization::AuthorizationPolicy;
-use walnutline_gate::keys::{KeyEntry, KeySet};
-use walnutline_gate::UnixMs;
 use walnutline_sessions::session_manager::Timeouts;
 
 /// Faults by their place in the text.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,10 +9,10 @@
 use std::path::{Path, PathBuf};
 use walnutline::ids::Ms;
 use walnutline::settings::PolicySettings;
+use walnutline_auth::authorization::AuthorizationPolicy;
+use walnutline_auth::keys::KeySet;
 use walnutline_catalogue::probe_planner::ProbeBudget;
 use walnutline_dash::{SigningKey, VerifyingKey};
-use walnutline_gate::authorization::AuthorizationPolicy;
-use walnutline_gate::keys::KeySet;
 use walnutline_sessions::session_manager::Timeouts;
 
 /// All that one front is told at its start.
