--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use walnutline::ids::{ServerId, SessionId};
 use walnutline::settings::PolicySettings;
+use walnutline_auth::claims::SessionClaims;
 use walnutline_catalogue::advisor::RequestAdvisor;
 use walnutline_catalogue::differences::ComparedRequest;
 use walnutline_catalogue::version::Version;
-use walnutline_desk::session_manager::{
+use walnutline_sessions::session_manager::{
     Answer, IoAction, ServerEndpoint, ServerMessage, SessionManager, SessionRequest, Timeouts,
 };
-use walnutline_gate::claims::SessionClaims;
 
 /// Events handled before what they lead to goes out.
 const ROUND: usize = 256;
