--- a/crates/wheel/benches/timers.rs
+++ b/crates/wheel/benches/timers.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use walnutline_wheel::{Key, Urgency, Wheel};
+use walnutline_wheel::{Priority, TimerKey, TimerWheel};
 
 /// Longest time of a timer, in ms, and how often one is started anew.
 const LONGEST: u32 = 60_000;
@@ -22,14 +22,14 @@
     fn due(&mut self, now: u32) -> usize;
 }
 
-struct Own(Wheel<u32>);
+struct Own(TimerWheel<u32>);
 
 impl Timers for Own {
-    type Key = Key;
-    fn start(&mut self, due: u32, n: u32) -> Key {
-        self.0.start(f64::from(due), 0.0, Urgency::Last, n)
+    type Key = TimerKey;
+    fn start(&mut self, due: u32, n: u32) -> TimerKey {
+        self.0.start(f64::from(due), 0.0, Priority::Low, n)
     }
-    fn cancel(&mut self, key: Key) {
+    fn cancel(&mut self, key: TimerKey) {
         self.0.cancel(key);
     }
     fn due(&mut self, now: u32) -> usize {
@@ -155,7 +155,7 @@
 fn main() {
     println!("   timers structure      start  cancel + start     due");
     for n in [1_000, 100_000, 1_000_000] {
-        measure("wheel", n, Own(Wheel::new(1.0, 20.0, 0.0)));
+        measure("wheel", n, Own(TimerWheel::new(1.0, 20.0, 0.0)));
         measure("BinaryHeap", n, Heap::default());
         measure("BTreeMap", n, Ordered::default());
         measure("registry's", n, Registry { wheel: QuadWheelWithOverflow::new(), now: 0 });
--- a/crates/wheel/src/lib.rs
+++ b/crates/wheel/src/lib.rs
@@ -20,18 +20,18 @@
 
 /// Names a timer that was started; of no more use once it fired or was cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct TimerKey {
     at: u32,
     generation: Wrapping<u32>,
 }
 
 /// What goes first when several timers are due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum Priority {
     /// Limits of SETUPs and probes.
-    First,
+    High,
     /// Time-outs of idle connections.
-    Last,
+    Low,
 }
 
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// In ticks; the slab's free list is kept in `next`.
     due: u64,
     started: u64,
-    urgency: Urgency,
+    urgency: Priority,
     /// Its slot: level times [`SLOTS`] and position.
     slot: u16,
     prev: u32,
@@ -50,24 +50,24 @@
 
 /// A timer that came due.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fired<T> {
-    pub key: Key,
+pub struct FiredTimer<T> {
+    pub key: TimerKey,
     pub value: T,
     /// How long after its time it was handed out, by the tick.
-    pub late: Ms,
+    pub late_by_ms: Ms,
 }
 
 /// How late timers were handed out.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Lateness {
+pub struct LatenessStats {
     pub fired: u64,
     /// Those that were late by more than the caller's bound.
     pub late: u64,
-    pub latest: Ms,
+    pub max_late_ms: Ms,
 }
 
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     tick: Ms,
     bound: Ms,
     /// The tick up to which all that was due is handed out.
@@ -79,14 +79,14 @@
     filled: [u64; LEVELS],
     len: usize,
     started: u64,
-    lateness: Lateness,
+    lateness: LatenessStats,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// `tick`: to how many milliseconds times are exact. Timers handed out more than `bound` after their time count as
     /// late.
-    pub fn new(tick: Ms, bound: Ms, now: Ms) -> Wheel<T> {
-        Wheel {
+    pub fn new(tick: Ms, bound: Ms, now: Ms) -> TimerWheel<T> {
+        TimerWheel {
             tick,
             bound,
             now: (now / tick) as u64,
@@ -96,7 +96,7 @@
             filled: [0; LEVELS],
             len: 0,
             started: 0,
-            lateness: Lateness::default(),
+            lateness: LatenessStats::default(),
         }
     }
 
@@ -109,12 +109,12 @@
         self.len == 0
     }
 
-    pub fn lateness(&self) -> Lateness {
+    pub fn lateness(&self) -> LatenessStats {
         self.lateness
     }
 
     /// Starts a timer, never handed out before `due`; `slack`: by how much it may be put off to come due with others.
-    pub fn start(&mut self, due: Ms, slack: Ms, urgency: Urgency, value: T) -> Key {
+    pub fn start(&mut self, due: Ms, slack: Ms, urgency: Priority, value: T) -> TimerKey {
         let ticks = (due / self.tick).ceil().max(0.0) as u64;
         let step = ((slack / self.tick) as u64).max(1);
         // Never in the past: what is due already comes with the next advance.
@@ -123,7 +123,7 @@
         self.started += 1;
         let (started, t) = (self.started, &mut self.timers[at as usize]);
         (t.due, t.started, t.urgency, t.value) = (due, started, urgency, Some(value));
-        let key = Key { at, generation: t.generation };
+        let key = TimerKey { at, generation: t.generation };
         self.len += 1;
         self.link(at);
         key
@@ -138,7 +138,7 @@
         self.timers.push(Timer {
             due: 0,
             started: 0,
-            urgency: Urgency::Last,
+            urgency: Priority::Low,
             slot: 0,
             prev: NONE,
             next: NONE,
@@ -149,7 +149,7 @@
     }
 
     /// Takes a timer back; `None` where it has fired or was cancelled before.
-    pub fn cancel(&mut self, key: Key) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let t = self.timers.get(key.at as usize)?;
         if t.generation != key.generation || t.value.is_none() {
             return None;
@@ -159,10 +159,10 @@
     }
 
     /// Gives a place back; its value and key.
-    fn release(&mut self, at: u32) -> (T, Key) {
+    fn release(&mut self, at: u32) -> (T, TimerKey) {
         let free = std::mem::replace(&mut self.free, at);
         let t = &mut self.timers[at as usize];
-        let key = Key { at, generation: t.generation };
+        let key = TimerKey { at, generation: t.generation };
         t.generation += 1;
         t.next = free;
         self.len -= 1;
@@ -221,15 +221,15 @@
         (0..LEVELS).filter_map(at).min()
     }
 
-    /// When [`Wheel::advance`] has something to do; may be before any timer is due, never after.
-    pub fn next_at(&self) -> Option<Ms> {
+    /// When [`TimerWheel::advance`] has something to do; may be before any timer is due, never after.
+    pub fn next_wakeup_at(&self) -> Option<Ms> {
         self.next_tick().map(|t| t as f64 * self.tick)
     }
 
     /// Hands out all that is due by now, the urgent first.
-    pub fn advance(&mut self, now: Ms, out: &mut Vec<Fired<T>>) {
+    pub fn advance(&mut self, now: Ms, out: &mut Vec<FiredTimer<T>>) {
         let until = (now / self.tick).max(0.0) as u64;
-        let mut due: Vec<(Urgency, u64, u64, u32)> = Vec::new();
+        let mut due: Vec<(Priority, u64, u64, u32)> = Vec::new();
         while let Some(next) = self.next_tick().filter(|t| *t <= until) {
             self.now = next;
             // Slots that begin at this tick, the widest first: what they hold moves down, at last to this very tick.
@@ -259,9 +259,9 @@
             let late = (now - tick as f64 * self.tick).max(0.0);
             self.lateness.fired += 1;
             self.lateness.late += u64::from(late > self.bound);
-            self.lateness.latest = self.lateness.latest.max(late);
+            self.lateness.max_late_ms = self.lateness.max_late_ms.max(late);
             let (value, key) = self.release(at);
-            out.push(Fired { key, value, late });
+            out.push(FiredTimer { key, value, late_by_ms: late });
         }
     }
 }
--- a/crates/wheel/tests/heap.rs
+++ b/crates/wheel/tests/heap.rs
@@ -1,6 +1,6 @@
 //! The wheel against a plain sorted list, with any times, cancellings and stalls.
 use proptest::prelude::*;
-use walnutline_wheel::{Key, Urgency, Wheel};
+use walnutline_wheel::{Priority, TimerKey, TimerWheel};
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -27,10 +27,10 @@
 }
 
 struct Plain {
-    urgency: Urgency,
+    urgency: Priority,
     tick: u64,
     started: usize,
-    key: Key,
+    key: TimerKey,
 }
 
 proptest! {
@@ -39,13 +39,13 @@
     #[test]
     fn like_a_sorted_list(from in 0.0..1e9f64, steps in prop::collection::vec(steps(), 1..200)) {
         let mut now = from;
-        let mut wheel = Wheel::new(1.0, 20.0, now);
-        let (mut plain, mut gone): (Vec<Plain>, Vec<Key>) = (Vec::new(), Vec::new());
+        let mut wheel = TimerWheel::new(1.0, 20.0, now);
+        let (mut plain, mut gone): (Vec<Plain>, Vec<TimerKey>) = (Vec::new(), Vec::new());
         for (n, step) in steps.into_iter().enumerate() {
             let before = now;
             match step {
                 Step::Start { after, slack, urgent } => {
-                    let urgency = if urgent { Urgency::First } else { Urgency::Last };
+                    let urgency = if urgent { Priority::High } else { Priority::Low };
                     let due = now + after;
                     let key = wheel.start(due, slack, urgency, n);
                     let step = (slack as u64).max(1);
@@ -59,9 +59,9 @@
                 }
                 Step::Cancel(_) => {}
                 Step::Pass(ms) => now += ms,
-                Step::Sleep => now = now.max(wheel.next_at().unwrap_or(now)),
+                Step::Sleep => now = now.max(wheel.next_wakeup_at().unwrap_or(now)),
             }
-            if let Some(at) = wheel.next_at() {
+            if let Some(at) = wheel.next_wakeup_at() {
                 let first = plain.iter().map(|p| p.tick).min();
                 prop_assert!(first.is_some_and(|t| at <= t as f64), "sleeps past a timer");
             } else {
@@ -77,11 +77,11 @@
                 }
                 plain = later;
                 due.sort_by_key(|p| (p.urgency, p.tick, p.started));
-                let wanted: Vec<(Key, usize)> = due.iter().map(|p| (p.key, p.started)).collect();
-                let got: Vec<(Key, usize)> = out.iter().map(|f| (f.key, f.value)).collect();
+                let wanted: Vec<(TimerKey, usize)> = due.iter().map(|p| (p.key, p.started)).collect();
+                let got: Vec<(TimerKey, usize)> = out.iter().map(|f| (f.key, f.value)).collect();
                 prop_assert_eq!(got, wanted);
                 for (f, p) in out.iter().zip(&due) {
-                    prop_assert_eq!(f.late, now - p.tick as f64);
+                    prop_assert_eq!(f.late_by_ms, now - p.tick as f64);
                 }
                 gone.extend(due.iter().map(|p| p.key));
             }
@@ -95,15 +95,15 @@
             prop_assert_eq!(wheel.cancel(p.key), Some(p.started));
         }
         prop_assert!(wheel.is_empty());
-        prop_assert_eq!(wheel.next_at(), None);
+        prop_assert_eq!(wheel.next_wakeup_at(), None);
     }
 }
 
 #[test]
 fn after_a_stall_the_urgent_go_first_and_lateness_is_counted() {
-    let mut wheel = Wheel::new(1.0, 20.0, 0.0);
+    let mut wheel = TimerWheel::new(1.0, 20.0, 0.0);
     for n in 0..100 {
-        let urgency = if n % 10 == 0 { Urgency::First } else { Urgency::Last };
+        let urgency = if n % 10 == 0 { Priority::High } else { Priority::Low };
         wheel.start(f64::from(n), 0.0, urgency, n);
     }
     let mut out = Vec::new();
@@ -112,18 +112,18 @@
     assert_eq!(order[..10], [0, 10, 20, 30, 40, 50, 60, 70, 80, 90]);
     assert!(order[10..].windows(2).all(|w| w[0] < w[1]));
     let late = wheel.lateness();
-    assert_eq!((late.fired, late.late, late.latest), (100, 100, 549.0));
+    assert_eq!((late.fired, late.late, late.max_late_ms), (100, 100, 549.0));
 }
 
 #[test]
 fn slack_makes_one_wake_up_of_many() {
-    let mut wheel = Wheel::new(1.0, 20.0, 0.0);
+    let mut wheel = TimerWheel::new(1.0, 20.0, 0.0);
     for n in 0..1_000 {
-        wheel.start(60_000.0 + f64::from(n), 1_000.0, Urgency::Last, n);
+        wheel.start(60_000.0 + f64::from(n), 1_000.0, Priority::Low, n);
     }
     let mut wakes = Vec::new();
     let mut out = Vec::new();
-    while let Some(at) = wheel.next_at() {
+    while let Some(at) = wheel.next_wakeup_at() {
         let before = out.len();
         wheel.advance(at, &mut out);
         if out.len() > before {
@@ -135,11 +135,11 @@
 
 #[test]
 fn places_are_used_again() {
-    let mut wheel = Wheel::new(1.0, 20.0, 0.0);
+    let mut wheel = TimerWheel::new(1.0, 20.0, 0.0);
     let mut out = Vec::new();
     for n in 0..10_000 {
         let now = f64::from(n);
-        let key = wheel.start(now + 5.0, 0.0, Urgency::First, n);
+        let key = wheel.start(now + 5.0, 0.0, Priority::High, n);
         if n % 2 == 0 {
             assert_eq!(wheel.cancel(key), Some(n));
         }
