--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -12,10 +12,10 @@
 use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, SessionClaims, ViewerClaims};
-use walnutline_rehearsal::boxes::{self, Common};
-use walnutline_rehearsal::deployment::{self, Folder};
-use walnutline_rehearsal::depot::Depot;
-use walnutline_rehearsal::list::Listing;
+use walnutline_rehearsal::boxes::{BoxContext, BoxProcess};
+use walnutline_rehearsal::deployment::{self, TempFolder};
+use walnutline_rehearsal::fleet::Fleet;
+use walnutline_rehearsal::list_server::ListServer;
 use walnutline_rehearsal::record::Recorder;
 
 #[derive(clap::Subcommand)]
@@ -85,10 +85,10 @@
 pub struct Bench {
     front: Child,
     address: SocketAddr,
-    boxes: Vec<boxes::Process>,
+    boxes: Vec<BoxProcess>,
     issuer: SigningKey,
     key: SigningKey,
-    _folder: Folder,
+    _folder: TempFolder,
 }
 
 impl Drop for Bench {
@@ -106,26 +106,26 @@
     /// A front with a depot that answers at once; `more` is added to its document.
     pub fn with(workers: u32, more: &str) -> Result<Self, String> {
         may::config().set_workers(2).set_stack_size(0x8000);
-        let folder = Folder::new()?;
+        let folder = TempFolder::new()?;
         let script = walnutline_rehearsal::script::parse("bench", "boxes 12 in 3 racks\nfronts 1")?;
         let seen = Arc::new(Recorder::create(&folder.0.join("records.jsonl"))?);
-        let mut kind = deployment::kind(&script);
-        (kind.streams, kind.link_kb, kind.uplink_kb) = (1_000_000, 1e10, 1e11);
+        let mut kind = deployment::box_settings(&script);
+        (kind.max_streams, kind.link_kb_per_s, kind.uplink_kb_per_s) = (1_000_000, 1e10, 1e11);
         let (issuer, key) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[2; 32]));
         folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
         folder.write("f0.secret", &encode_base64url(key.as_bytes()))?;
-        let (listing, list) = Listing::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
+        let (listing, list) = ListServer::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
         // The terms' limits stay; only what a depot carries is out of the way.
-        let document = deployment::document(&script, &kind, &deployment::terms(), list, 0);
+        let document = deployment::front_document(&script, &kind, &deployment::audit_settings(), list, 0);
         folder.write("f0.kdl", &(document.replace("free=5 share=0.2", "free=100000 share=1") + more))?;
-        let depot = Arc::new(Depot::new(BOXES, 3, kind, seen));
+        let depot = Arc::new(Fleet::new(BOXES, 3, kind, seen));
         let keys = BTreeMap::from([(b"f0".to_vec(), (0, key.verifying_key()))]);
-        let mut common = Common::new(depot, keys, BTreeMap::new(), 0.01, 500.0);
-        (common.setup_takes, common.sessions_last) = ((0.0, 0.0), Some(SESSIONS_LAST));
+        let mut common = BoxContext::new(depot, keys, BTreeMap::new(), 0.01, 500.0);
+        (common.setup_duration_ms, common.session_duration_ms) = ((0.0, 0.0), Some(SESSIONS_LAST));
         let common = Arc::new(common);
         let mut started = Vec::new();
         for server in 0..BOXES {
-            let p = boxes::Process::start(&common, server, false).map_err(|e| format!("box: {e}"))?;
+            let p = BoxProcess::start(&common, server, false).map_err(|e| format!("box: {e}"))?;
             let line = BoxEntry {
                 id: server,
                 name: format!("box-{server}"),
@@ -135,10 +135,10 @@
                 kind: 0,
                 weight: 1.0,
                 started_at_ms: None,
-                control_addr: p.control,
-                media_url: format!("http://{}", p.media),
+                control_addr: p.control_addr,
+                media_url: format!("http://{}", p.media_addr),
             };
-            listing.change(vec![line]);
+            listing.update(vec![line]);
             started.push(p);
         }
         let at = folder.0.join("address");
@@ -247,7 +247,7 @@
             };
             rtsp::encode(&Message::Request { cseq: n + 1, request }, "127.0.0.1").expect("a plain host")
         };
-        load(rate, seconds, connections, server.control, &encoded_setup, &|stream, rest| {
+        load(rate, seconds, connections, server.control_addr, &encoded_setup, &|stream, rest| {
             let mut bytes = [0; 4_096];
             let mut reader = MessageReader::default();
             reader.push(&std::mem::take(rest));
--- a/crates/cli/src/bench_catalogue.rs
+++ b/crates/cli/src/bench_catalogue.rs
@@ -351,7 +351,7 @@
             println!("ready");
             let change =
                 |n: u32| Change::SetRates { name: title(n % titles).name, rates: vec![n as f32 + 1.0] };
-            publisher.change((0..50_000).map(change))?;
+            publisher.apply_changes((0..50_000).map(change))?;
         }
     }
     Ok(())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -35,13 +35,13 @@
     #[command(subcommand)]
     Token(token::Command),
     /// Play a script of trouble on a depot of stand-ins and judge it from the sockets.
-    Rehearse(walnutline_rehearsal::play::Args),
+    Rehearse(walnutline_rehearsal::runner::RehearseArgs),
     /// Run one stand-in box; prints its line for a list.
-    Box(walnutline_rehearsal::alone::BoxArgs),
+    Box(walnutline_rehearsal::standalone::BoxArgs),
     /// Serve a list of boxes from a file; prints its address.
-    List(walnutline_rehearsal::alone::ListArgs),
+    List(walnutline_rehearsal::standalone::ListArgs),
     /// Let stand-in viewers come to fronts.
-    Viewers(walnutline_rehearsal::alone::ViewersArgs),
+    Viewers(walnutline_rehearsal::standalone::ViewersArgs),
     /// Measure; long, and no part of CI.
     #[command(subcommand)]
     Bench(bench::Command),
@@ -58,10 +58,10 @@
         Command::Check { file } => front::check(&file),
         Command::Catalogue(command) => catalogue::run(command),
         Command::Token(command) => token::run(command),
-        Command::Rehearse(args) => walnutline_rehearsal::play::run(args),
-        Command::Box(args) => walnutline_rehearsal::alone::one_box(args),
-        Command::List(args) => walnutline_rehearsal::alone::one_list(args),
-        Command::Viewers(args) => walnutline_rehearsal::alone::some_viewers(args),
+        Command::Rehearse(args) => walnutline_rehearsal::runner::run(args),
+        Command::Box(args) => walnutline_rehearsal::standalone::run_box(args),
+        Command::List(args) => walnutline_rehearsal::standalone::run_list(args),
+        Command::Viewers(args) => walnutline_rehearsal::standalone::run_viewers(args),
         Command::Bench(command) => bench::run(command),
         Command::Audit { records } => walnutline_rehearsal::audit::run(&records),
     };
--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -92,10 +92,10 @@
     let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
     p.until_rate("water", 111);
     assert_eq!(p.rate("unknown"), 200, "the ladder's");
-    p.publisher.change([rates("water", 99.0), Change::PutTitle(title("snow", 120.0, &[1]))]).unwrap();
+    p.publisher.apply_changes([rates("water", 99.0), Change::PutTitle(title("snow", 120.0, &[1]))]).unwrap();
     p.until_rate("water", 99);
     assert_eq!(p.rate("snow"), 120, "both changes of one batch");
-    p.publisher.change([Change::RemoveTitle { name: "snow".into() }]).unwrap();
+    p.publisher.apply_changes([Change::RemoveTitle { name: "snow".into() }]).unwrap();
     p.until_rate("snow", 200);
 }
 
@@ -160,12 +160,12 @@
     p.until_rate("water", 111);
     let (count, ()) = requests(&p.front, || {
         let changes = (0..50_000u32).map(|n| rates(&format!("t{}", n % 2_000), 50.0 + (n / 2_000) as f32));
-        assert_eq!(p.publisher.change(changes).unwrap(), 50_000);
-        p.publisher.change([rates("water", 99.0)]).unwrap();
+        assert_eq!(p.publisher.apply_changes(changes).unwrap(), 50_000);
+        p.publisher.apply_changes([rates("water", 99.0)]).unwrap();
         p.until_rate("water", 99);
     });
     assert!(count > 50, "only {count} requests meanwhile");
-    assert_eq!((p.rate("t7"), p.publisher.asked()), (74, (1, 1)), "one snapshot, one stream");
+    assert_eq!((p.rate("t7"), p.publisher.request_counts()), (74, (1, 1)), "one snapshot, one stream");
 }
 
 #[test]
@@ -191,16 +191,16 @@
 fn a_wrong_stream(numbers: &[u64], asked: (usize, usize)) {
     let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
     p.until_rate("water", 111);
-    p.publisher.change([rates("water", 112.0)]).unwrap();
+    p.publisher.apply_changes([rates("water", 112.0)]).unwrap();
     p.until_rate("water", 112);
     let drop = Change::RemoveTitle { name: "unheard-of".into() };
     let wrong = |n: &u64| NumberedChange { number: *n, change: drop.clone() };
-    p.publisher.say(numbers.iter().map(wrong).collect());
+    p.publisher.send_unchecked(numbers.iter().map(wrong).collect());
     // Seen to be taken: by a stream opened anew, or by what follows on the same stream.
-    until("the stream is in order again", || (p.publisher.asked() == asked).then_some(()));
-    p.publisher.change([rates("water", 99.0)]).unwrap();
+    until("the stream is in order again", || (p.publisher.request_counts() == asked).then_some(()));
+    p.publisher.apply_changes([rates("water", 99.0)]).unwrap();
     p.until_rate("water", 99);
-    assert_eq!(p.publisher.asked(), asked);
+    assert_eq!(p.publisher.request_counts(), asked);
 }
 
 #[test]
@@ -208,13 +208,13 @@
     let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
     p.until_rate("water", 111);
     for at in [20, 120] {
-        p.publisher.flip(Some(at));
-        let before = p.publisher.asked().0;
+        p.publisher.corrupt_snapshot_byte(Some(at));
+        let before = p.publisher.request_counts().0;
         p.publisher.replace(version(300 + at as u64, &[title("water", 99.0, &[0, 1])], &[]));
-        until("it is fetched, and again", || (p.publisher.asked().0 >= before + 2).then_some(()));
+        until("it is fetched, and again", || (p.publisher.request_counts().0 >= before + 2).then_some(()));
         assert_eq!(p.rate("water"), 111, "byte {at}");
     }
-    p.publisher.flip(None);
+    p.publisher.corrupt_snapshot_byte(None);
     p.until_rate("water", 99);
 }
 
@@ -222,7 +222,7 @@
 fn killed_and_started_again_it_knows_what_it_knew() {
     let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
     p.until_rate("water", 111);
-    p.publisher.change([rates("water", 99.0)]).unwrap();
+    p.publisher.apply_changes([rates("water", 99.0)]).unwrap();
     p.until_rate("water", 99);
     let Place { front, store, document, _boxes, .. } = p;
     drop(front);
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -1,7 +1,7 @@
 //! Stand-in boxes on sockets: RTSP 2.0 control for fronts, segments over HTTP for viewers.
-use crate::depot::{Depot, Session};
-use crate::net::{header, read_head, sleep, spawn};
-use crate::record::Seen;
+use crate::fleet::{Fleet, Session};
+use crate::net::{header_value, read_head, sleep, spawn};
+use crate::record::Observation;
 use may::net::{TcpListener, TcpStream};
 use may::sync::Mutex;
 use rand::rngs::StdRng;
@@ -22,66 +22,66 @@
 const NOTICE_EVERY: f64 = 1_000.0;
 
 /// What all boxes are told at the start: how fronts' keys are called, and each service group's scale.
-pub struct Common {
-    pub depot: Arc<Depot>,
+pub struct BoxContext {
+    pub fleet: Arc<Fleet>,
     pub front_keys: BTreeMap<Vec<u8>, (u32, VerifyingKey)>,
-    pub scales: BTreeMap<String, f64>,
+    pub group_rate_scales: BTreeMap<String, f64>,
     /// Titles' true rates over the ladder's, where they differ.
-    pub factors: BTreeMap<String, f64>,
+    pub title_rate_factors: BTreeMap<String, f64>,
     /// Bytes sent for a byte of the ladder's rates, and the length of a segment.
     pub bytes_scale: f64,
-    pub segment: f64,
+    pub segment_ms: f64,
     /// How long a SETUP takes a box, in milliseconds, at least and at most.
-    pub setup_takes: (f64, f64),
+    pub setup_duration_ms: (f64, f64),
     /// Sessions end by themselves after that long, where it is set.
-    pub sessions_last: Option<f64>,
+    pub session_duration_ms: Option<f64>,
     conns: AtomicU64,
 }
 
-impl Common {
+impl BoxContext {
     pub fn new(
-        depot: Arc<Depot>,
+        fleet: Arc<Fleet>,
         front_keys: BTreeMap<Vec<u8>, (u32, VerifyingKey)>,
         scales: BTreeMap<String, f64>,
         bytes_scale: f64,
         segment: f64,
     ) -> Self {
         let setup_takes = (3.0, 15.0);
-        Common {
-            depot,
+        BoxContext {
+            fleet,
             front_keys,
-            scales,
-            factors: BTreeMap::new(),
+            group_rate_scales: scales,
+            title_rate_factors: BTreeMap::new(),
             bytes_scale,
-            segment,
-            setup_takes,
-            sessions_last: None,
+            segment_ms: segment,
+            setup_duration_ms: setup_takes,
+            session_duration_ms: None,
             conns: AtomicU64::new(0),
         }
     }
 }
 
 /// One process of a box.
-pub struct Process {
+pub struct BoxProcess {
     pub server: u32,
-    pub control: SocketAddr,
-    pub media: SocketAddr,
+    pub control_addr: SocketAddr,
+    pub media_addr: SocketAddr,
     generation: u64,
-    common: Arc<Common>,
+    common: Arc<BoxContext>,
     open: Arc<Mutex<Vec<TcpStream>>>,
     stopped: Arc<AtomicBool>,
 }
 
-impl Process {
-    pub fn start(common: &Arc<Common>, server: u32, cold: bool) -> io::Result<Self> {
+impl BoxProcess {
+    pub fn start(common: &Arc<BoxContext>, server: u32, cold: bool) -> io::Result<Self> {
         let control = TcpListener::bind("127.0.0.1:0")?;
         let media = TcpListener::bind("127.0.0.1:0")?;
-        let generation = common.depot.start(server, cold);
+        let generation = common.fleet.start_process(server, cold);
         let open = Arc::new(Mutex::new(Vec::new()));
-        let p = Process {
+        let p = BoxProcess {
             server,
-            control: control.local_addr()?,
-            media: media.local_addr()?,
+            control_addr: control.local_addr()?,
+            media_addr: media.local_addr()?,
             generation,
             common: common.clone(),
             open,
@@ -114,10 +114,10 @@
     }
 
     /// The process dies: nothing listens any more, and all its connections break.
-    pub fn kill(&self, why: &str) {
-        self.common.depot.die(self.server, why);
+    pub fn kill(&self, reason: &str) {
+        self.common.fleet.stop_process(self.server, reason);
         self.stopped.store(true, Ordering::SeqCst);
-        for address in [self.control, self.media] {
+        for address in [self.control_addr, self.media_addr] {
             // Wakes the listener, which then closes.
             let _ = std::net::TcpStream::connect(address);
         }
@@ -128,7 +128,7 @@
 }
 
 struct Conn {
-    common: Arc<Common>,
+    common: Arc<BoxContext>,
     server: u32,
     generation: u64,
     no: u64,
@@ -140,11 +140,11 @@
     /// Stands still while its box hangs; `false` once the box is dead.
     fn awake(&self) -> bool {
         loop {
-            let until = self.common.depot.lock().boxes[self.server as usize].troubles.hang_until;
-            if !self.common.depot.runs(self.server, self.generation) {
+            let until = self.common.fleet.lock().boxes[self.server as usize].faults.hang_until;
+            if !self.common.fleet.is_running(self.server, self.generation) {
                 return false;
             }
-            let left = until - self.common.depot.seen.now();
+            let left = until - self.common.fleet.recorder.now_ms();
             if left <= 0.0 {
                 return true;
             }
@@ -179,10 +179,11 @@
         }
         let _ = stream.shutdown(Shutdown::Both);
         // The front is gone, and its sessions with it.
-        let mut inside = conn.common.depot.lock();
+        let mut inside = conn.common.fleet.lock();
         let b = &mut inside.boxes[conn.server as usize];
         if b.generation == conn.generation {
-            let ended: Vec<u64> = b.sessions.values().filter(|s| s.conn == conn.no).map(|s| s.id).collect();
+            let ended: Vec<u64> =
+                b.sessions.values().filter(|s| s.connection == conn.no).map(|s| s.id).collect();
             for id in ended {
                 b.sessions.remove(&id);
                 conn.over(id, "front left");
@@ -190,8 +191,12 @@
         }
     }
 
-    fn over(&self, session: u64, why: &str) {
-        self.common.depot.seen.saw(Seen::Over { server: self.server, session, why: why.into() });
+    fn over(&self, session: u64, reason: &str) {
+        self.common.fleet.recorder.record(Observation::SessionEnded {
+            server: self.server,
+            session,
+            reason: reason.into(),
+        });
     }
 
     fn say(&self, writer: &Writer, message: &Message) {
@@ -213,20 +218,29 @@
                     return self.reply(writer, cseq, 401, Vec::new());
                 };
                 let session = front_session;
-                let scale = self.common.scales.get(&service_group).copied().unwrap_or(1.0)
-                    * self.common.factors.get(&title).copied().unwrap_or(1.0);
-                let seen =
-                    Seen::Setup { server: self.server, front, session, title, group: service_group, rung };
-                if !self.common.depot.saw(self.server, self.generation, seen) {
+                let scale = self.common.group_rate_scales.get(&service_group).copied().unwrap_or(1.0)
+                    * self.common.title_rate_factors.get(&title).copied().unwrap_or(1.0);
+                let seen = Observation::SetupReceived {
+                    server: self.server,
+                    front,
+                    session,
+                    title,
+                    group: service_group,
+                    rung,
+                };
+                if !self.common.fleet.record_if_running(self.server, self.generation, seen) {
                     return;
                 }
                 let (conn, writer) = (self.clone(), writer.clone());
                 spawn(move || conn.set_up(cseq, session, scale, rung, &writer));
             }
             ControlRequest::GetParameter(_) => {
-                let f = self.common.depot.report(self.server);
-                let figures =
-                    [(rtsp::STREAMS, f.streams), (rtsp::LINK_USE, f.link), (rtsp::UPLINK_USE, f.uplink)];
+                let f = self.common.fleet.delayed_load(self.server);
+                let figures = [
+                    (rtsp::STREAMS, f.streams),
+                    (rtsp::LINK_USE, f.link_use),
+                    (rtsp::UPLINK_USE, f.uplink_use),
+                ];
                 let figures = figures.map(|(n, v)| (n.to_owned(), v)).to_vec();
                 let (conn, writer) = (self.clone(), writer.clone());
                 spawn(move || {
@@ -259,14 +273,18 @@
                     s.id
                 });
                 if let (Some(id), Some(rung)) = (known, rung) {
-                    self.common.depot.seen.saw(Seen::Rung { server: self.server, session: id, rung });
+                    self.common.fleet.recorder.record(Observation::RungSet {
+                        server: self.server,
+                        session: id,
+                        rung,
+                    });
                 }
                 self.reply(writer, cseq, if known.is_some() { 200 } else { 454 }, Vec::new());
             }
             ControlRequest::Teardown { session } => {
                 let known = self.with_session(Some(&session), |s| s.id);
                 if let Some(id) = known {
-                    self.common.depot.lock().boxes[self.server as usize].sessions.remove(&id);
+                    self.common.fleet.lock().boxes[self.server as usize].sessions.remove(&id);
                     self.over(id, "torn-down");
                 }
                 self.reply(writer, cseq, if known.is_some() { 200 } else { 454 }, Vec::new());
@@ -275,7 +293,7 @@
         }
     }
 
-    /// Which front signed a session's token, if it is good for this session at this box.
+    /// BoxSelection front signed a session's token, if it is good for this session at this box.
     fn front_of(&self, token: &str, session: u64) -> Option<u32> {
         let front = Cell::new(None);
         let claims = token::verify_session(token, |id| {
@@ -284,52 +302,65 @@
             Ok(*key)
         });
         let good = |c: &walnutline_gate::claims::SessionClaims| {
-            c.session == session && c.server == self.server && c.expires_at > self.common.depot.seen.now()
+            c.session == session
+                && c.server == self.server
+                && c.expires_at > self.common.fleet.recorder.now_ms()
         };
         claims.ok().filter(good).and(front.get())
     }
 
     fn with_session<T>(&self, name: Option<&str>, with: impl FnOnce(&mut Session) -> T) -> Option<T> {
-        let mut inside = self.common.depot.lock();
+        let mut inside = self.common.fleet.lock();
         let sessions = &mut inside.boxes[self.server as usize].sessions;
-        sessions.values_mut().find(|s| Some(s.name.as_str()) == name && s.conn == self.no).map(with)
+        sessions
+            .values_mut()
+            .find(|s| Some(s.rtsp_session.as_str()) == name && s.connection == self.no)
+            .map(with)
     }
 
     fn set_up(&self, cseq: u32, id: u64, scale: f64, rung: u8, writer: &Writer) {
-        let depot = &self.common.depot;
+        let fleet = &self.common.fleet;
         let mut rng = StdRng::seed_from_u64(id ^ u64::from(self.server) << 40);
         let fell = {
-            let now = depot.seen.now();
-            depot.lock().pushed_over(self.server as usize, now)
+            let now = fleet.recorder.now_ms();
+            fleet.lock().setup_overloads_cold_box(self.server as usize, now)
         };
         if fell {
-            depot.die(self.server, "fell over");
+            fleet.stop_process(self.server, "fell over");
             return;
         }
-        let (least, most) = self.common.setup_takes;
+        let (least, most) = self.common.setup_duration_ms;
         if most > 0.0 {
             sleep(rng.random_range(least..most));
         }
         if !self.awake() {
             return;
         }
-        let now = depot.seen.now();
+        let now = fleet.recorder.now_ms();
         let name = format!("{:x}-{id:x}", self.generation);
         let (status, lost) = {
-            let mut inside = depot.lock();
+            let mut inside = fleet.lock();
             let kind = inside.kind.clone();
-            let asked = inside.asked_kb(self.server as usize);
+            let asked = inside.demanded_kb_per_s(self.server as usize);
             let b = &mut inside.boxes[self.server as usize];
             let mut within = |(share, until): (f64, f64)| now < until && rng.random_bool(share);
-            let (failed, lost) = (within(b.troubles.errors), within(b.troubles.lose));
-            let full = b.sessions.len() >= kind.streams || asked > kind.busy_from * kind.link_kb;
+            let (failed, lost) = (within(b.faults.setup_errors), within(b.faults.lost_answers));
+            let full =
+                b.sessions.len() >= kind.max_streams || asked > kind.busy_link_use * kind.link_kb_per_s;
             let status = match () {
                 _ if failed => 500,
                 _ if full => rtsp::NOT_ENOUGH_BANDWIDTH,
                 _ => 200,
             };
             if status == 200 {
-                let s = Session { name: name.clone(), id, conn: self.no, rung, scale, fetched: now };
+                let s = Session {
+                    rtsp_session: name.clone(),
+                    id,
+                    connection: self.no,
+                    rung,
+                    rate_scale: scale,
+                    last_fetch_at_ms: now,
+                };
                 b.sessions.insert(id, s);
             }
             (status, lost)
@@ -337,19 +368,19 @@
         if lost {
             return;
         }
-        // Seen before it is sent: what a front does on it must not be recorded earlier.
-        if !depot.saw(
+        // Observation before it is sent: what a front does on it must not be recorded earlier.
+        if !fleet.record_if_running(
             self.server,
             self.generation,
-            Seen::SetupDone { server: self.server, session: id, status },
+            Observation::SetupAnswered { server: self.server, session: id, status },
         ) {
             return;
         }
         let session = (status == 200).then_some(name.clone());
         self.say(writer, &Message::Response { cseq, status, session, parameters: Vec::new() });
-        if let Some(lasts) = self.common.sessions_last.filter(|_| status == 200) {
+        if let Some(lasts) = self.common.session_duration_ms.filter(|_| status == 200) {
             sleep(lasts);
-            if depot.lock().boxes[self.server as usize].sessions.remove(&id).is_some() {
+            if fleet.lock().boxes[self.server as usize].sessions.remove(&id).is_some() {
                 self.over(id, "its end");
                 self.say(
                     writer,
@@ -365,14 +396,14 @@
         let (mut cseq, mut was_short) = (0, false);
         while self.awake() {
             sleep(NOTICE_EVERY);
-            let now = self.common.depot.seen.now();
+            let now = self.common.fleet.recorder.now_ms();
             let mut requests = Vec::new();
             {
-                let mut inside = self.common.depot.lock();
-                let late_until = inside.reports_late.1;
-                let share = inside.share(self.server as usize, now);
+                let mut inside = self.common.fleet.lock();
+                let late_until = inside.report_delay.1;
+                let share = inside.delivered_share(self.server as usize, now);
                 let b = &mut inside.boxes[self.server as usize];
-                let own = b.sessions.values().any(|s| s.conn == self.no);
+                let own = b.sessions.values().any(|s| s.connection == self.no);
                 if own && now >= late_until && (share < 0.98 || was_short) {
                     was_short = share < 0.98;
                     requests.push(ControlRequest::SetParameter {
@@ -380,9 +411,9 @@
                         parameters: vec![(rtsp::DELIVERED_SHARE.into(), share)],
                     });
                 }
-                let idle = |s: &&Session| s.conn == self.no && now - s.fetched > UNWATCHED;
+                let idle = |s: &&Session| s.connection == self.no && now - s.last_fetch_at_ms > UNWATCHED;
                 let ended: Vec<(u64, String)> =
-                    b.sessions.values().filter(idle).map(|s| (s.id, s.name.clone())).collect();
+                    b.sessions.values().filter(idle).map(|s| (s.id, s.rtsp_session.clone())).collect();
                 for (id, session) in ended {
                     b.sessions.remove(&id);
                     self.over(id, "not watched");
@@ -414,7 +445,7 @@
             };
             let text = format!("HTTP/1.1 {status} -\r\nContent-Length: {body}\r\n\r\n");
             let sent = stream.write_all(text.as_bytes()).and_then(|()| stream.write_all(&vec![0x5a; body]));
-            if sent.is_err() || header(&head, "Connection") == Some("close") {
+            if sent.is_err() || header_value(&head, "Connection") == Some("close") {
                 break;
             }
         }
@@ -428,14 +459,14 @@
         let (id, token, rung) = (next()?, next()?, next()?);
         let (id, rung): (u64, u8) = (id.parse().map_err(|_| 404u16)?, rung.parse().map_err(|_| 404u16)?);
         self.front_of(token, id).ok_or(403u16)?;
-        let now = self.common.depot.seen.now();
-        let mut inside = self.common.depot.lock();
-        let share = inside.share(self.server as usize, now);
-        let rates = inside.kind.rung_kb.clone();
+        let now = self.common.fleet.recorder.now_ms();
+        let mut inside = self.common.fleet.lock();
+        let share = inside.delivered_share(self.server as usize, now);
+        let rates = inside.kind.rung_kb_per_s.clone();
         let s = inside.boxes[self.server as usize].sessions.get_mut(&id).ok_or(410u16)?;
-        s.fetched = now;
-        let rate = rates.get(rung.min(s.rung) as usize).ok_or(404u16)? * s.scale;
-        let bytes = rate * self.common.segment * self.common.bytes_scale;
-        Ok((bytes as usize, self.common.segment * (1.0 / share - 1.0)))
+        s.last_fetch_at_ms = now;
+        let rate = rates.get(rung.min(s.rung) as usize).ok_or(404u16)? * s.rate_scale;
+        let bytes = rate * self.common.segment_ms * self.common.bytes_scale;
+        Ok((bytes as usize, self.common.segment_ms * (1.0 / share - 1.0)))
     }
 }
--- a/crates/rehearsal/src/catalogue.rs
+++ b/crates/rehearsal/src/catalogue.rs
@@ -1,7 +1,7 @@
 //! A catalogue of a rehearsal's titles, and what it brings: the same day with each use of it.
-use crate::depot::Kind;
-use crate::play::play;
+use crate::fleet::BoxSettings;
 use crate::publisher::Publisher;
+use crate::runner::run_script;
 use crate::script::Script;
 use crate::viewers::Title;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// What fronts make of a catalogue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
-pub enum Use {
+pub enum CatalogueUse {
     None,
     /// Titles' true rates alone.
     Rates,
@@ -22,19 +22,19 @@
     All,
 }
 
-impl Use {
+impl CatalogueUse {
     /// Publishes the titles, where any use is made of them; returns where.
-    pub fn start(
+    pub fn publish(
         self,
         script: &Script,
-        kind: &Kind,
+        kind: &BoxSettings,
         titles: &[Title],
         factors: &BTreeMap<String, f64>,
     ) -> Result<Option<SocketAddr>, String> {
-        if self == Use::None {
+        if self == CatalogueUse::None {
             return Ok(None);
         }
-        let groups = crate::deployment::terms().groups.into_iter().map(|g| g.name).collect();
+        let groups = crate::deployment::audit_settings().groups.into_iter().map(|g| g.name).collect();
         let mut b = VersionBuilder::new(1, groups, None)?;
         for n in 0..script.boxes {
             b.add_box(BoxState { server: ServerId(n), gone: false, rack: Some(RackId(n % script.racks)) });
@@ -43,7 +43,7 @@
             let mut holders: Vec<ServerId> = t.holders.iter().copied().map(ServerId).collect();
             holders.sort_unstable();
             let factor = factors.get(&t.name).copied().unwrap_or(1.0);
-            let rates = kind.rung_kb.iter().map(|kb| (kb * factor) as f32).collect();
+            let rates = kind.rung_kb_per_s.iter().map(|kb| (kb * factor) as f32).collect();
             let title =
                 change::Title { name: t.name.clone(), rates, group_mask: 3, duration_ms: 60_000, holders };
             b.add_title(PackedTitle::new(&title)?)?;
@@ -53,9 +53,9 @@
     }
 
     /// The line of a front's document.
-    pub fn node(self, source: SocketAddr, front: u32) -> String {
-        let each = if matches!(self, Use::News | Use::All) { 0.3 } else { 0.0 };
-        let rates = matches!(self, Use::Rates | Use::All);
+    pub fn config_node(self, source: SocketAddr, front: u32) -> String {
+        let each = if matches!(self, CatalogueUse::News | CatalogueUse::All) { 0.3 } else { 0.0 };
+        let rates = matches!(self, CatalogueUse::Rates | CatalogueUse::All);
         format!(
             "catalogue folder=\"catalogue-{front}\" source=\"http://{source}/c\" probes-each={each} \
              probes-saved=10 news-old=1500 rates={rates}\n"
@@ -64,20 +64,21 @@
 }
 
 /// Plays a day on several seeds with each use of a catalogue, in turn, and tells the service of each.
-pub fn compare(script: &Script, seeds: u64) -> Result<(), String> {
-    const USES: [Use; 4] = [Use::None, Use::Rates, Use::News, Use::All];
+pub fn compare_uses(script: &Script, seeds: u64) -> Result<(), String> {
+    const USES: [CatalogueUse; 4] =
+        [CatalogueUse::None, CatalogueUse::Rates, CatalogueUse::News, CatalogueUse::All];
     let mut service: Vec<Vec<f64>> = vec![Vec::new(); USES.len()];
     let mut breaks = 0;
     println!("seed        service, SETUPs, delivered share of each use of a catalogue");
     for seed in script.seed..script.seed + seeds {
         for (n, with) in USES.into_iter().enumerate() {
-            let v = play(Script { seed, ..script.clone() }, None, false, with)?;
+            let v = run_script(Script { seed, ..script.clone() }, None, false, with)?;
             println!(
                 "{seed:4}  {with:?}  {:.3}  {}  {:.3}  median to play {:.1} ms, p99 {:.1} ms",
-                v.service, v.setups, v.delivered, v.to_play.0, v.to_play.1
+                v.service, v.setups, v.mean_delivered_share, v.startup_ms.0, v.startup_ms.1
             );
-            v.breaks.iter().for_each(|b| println!("rule {} broken: {}", b.rule, b.what));
-            breaks += v.breaks.len();
+            v.violations.iter().for_each(|b| println!("rule {} broken: {}", b.rule, b.description));
+            breaks += v.violations.len();
             service[n].push(v.service);
         }
     }
--- a/crates/rehearsal/src/list_server.rs
+++ b/crates/rehearsal/src/list_server.rs
@@ -1,6 +1,6 @@
 //! The stand-in list: an event stream to each front, as late as the script says.
-use crate::net::{header, read_head, sleep, spawn};
-use crate::record::{Recorder, Seen};
+use crate::net::{header_value, read_head, sleep, spawn};
+use crate::record::{Observation, Recorder};
 use may::net::TcpListener;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -26,18 +26,18 @@
     late: (f64, f64),
 }
 
-pub struct Listing {
+pub struct ListServer {
     inside: Mutex<Inside>,
     seen: Arc<Recorder>,
     /// How late changes are told when all is well.
     delay: f64,
 }
 
-impl Listing {
+impl ListServer {
     pub fn start(seen: Arc<Recorder>, delay: f64) -> io::Result<(Arc<Self>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let listing = Arc::new(Listing { inside: Mutex::default(), seen, delay });
+        let listing = Arc::new(ListServer { inside: Mutex::default(), seen, delay });
         let l = listing.clone();
         spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
@@ -53,14 +53,14 @@
     }
 
     /// Lines that are new or other than before.
-    pub fn change(&self, lines: Vec<BoxEntry>) {
+    pub fn update(&self, lines: Vec<BoxEntry>) {
         let mut inside = self.lock();
         for line in &lines {
             inside.lines.retain(|l| l.id != line.id);
             inside.lines.push(line.clone());
         }
         inside.number += 1;
-        let (number, at) = (inside.number, self.seen.now());
+        let (number, at) = (inside.number, self.seen.now_ms());
         inside.changes.push(Change { number, at, lines });
         if inside.changes.len() > KEPT {
             inside.changes.remove(0);
@@ -70,17 +70,17 @@
     pub fn set_state(&self, server: u32, state: BoxState) {
         let line = self.lock().lines.iter().find(|l| l.id == server).cloned();
         if let Some(line) = line {
-            self.change(vec![BoxEntry { state, ..line }]);
+            self.update(vec![BoxEntry { state, ..line }]);
         }
     }
 
-    pub fn late(&self, late: f64, until: f64) {
+    pub fn set_delay(&self, late: f64, until: f64) {
         self.lock().late = (late, until);
     }
 
     /// What may be told now beyond a number: a change is told once it is as old as the list is late.
     fn due(&self, told: Option<u64>) -> Option<(u64, &'static str, Vec<BoxEntry>)> {
-        let now = self.seen.now();
+        let now = self.seen.now_ms();
         let inside = self.lock();
         let late = if now < inside.late.1 { inside.late.0 } else { self.delay };
         let told = match told {
@@ -97,7 +97,7 @@
         // Each front has a path of its own, so that it is known who was told what.
         let path = head.split(' ').nth(1).unwrap_or("");
         let front = path.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(u32::MAX);
-        let mut told = header(&head, "Last-Event-ID").and_then(|n| n.parse().ok());
+        let mut told = header_value(&head, "Last-Event-ID").and_then(|n| n.parse().ok());
         stream.write_all(b"HTTP/1.0 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
         let mut quiet = 0;
         loop {
@@ -106,7 +106,7 @@
                     told = Some(number);
                     for line in &boxes {
                         let state = format!("{:?}", line.state).to_lowercase();
-                        self.seen.saw(Seen::Told { front, server: line.id, state });
+                        self.seen.record(Observation::ListEntrySent { front, server: line.id, state });
                     }
                     let data = box_list::to_json(&BoxList { boxes });
                     let event = Event { id: Some(number), name: name.into(), data };
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -52,7 +52,7 @@
 }
 
 /// A socket whose reads end at a stated time: one thread shuts what is due, for good.
-pub struct Timed {
+pub struct TimedStream {
     pub stream: TcpStream,
     cut: Arc<Cut>,
 }
@@ -83,37 +83,37 @@
     });
 }
 
-impl Timed {
+impl TimedStream {
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         WATCH.call_once(watch);
         let socket = stream.inner().try_clone()?;
         let cut = Arc::new(Cut { socket, due: Mutex::new(None), over: AtomicBool::new(false) });
         CUTS.lock().unwrap_or_else(|e| e.into_inner()).push(Arc::downgrade(&cut));
-        Ok(Timed { stream, cut })
+        Ok(TimedStream { stream, cut })
     }
 
     pub fn connect(to: &SocketAddr) -> io::Result<Self> {
-        Timed::new(TcpStream::connect(to)?)
+        TimedStream::new(TcpStream::connect(to)?)
     }
 
     /// Reads fail from then on.
-    pub fn reads_within(&self, ms: f64) {
+    pub fn set_read_timeout(&self, ms: f64) {
         let due = Instant::now() + Duration::from_secs_f64(ms.max(0.0) / 1_000.0);
         *self.cut.due.lock().unwrap_or_else(|e| e.into_inner()) = Some(due);
     }
 
-    pub fn reads_freely(&self) {
+    pub fn clear_read_timeout(&self) {
         *self.cut.due.lock().unwrap_or_else(|e| e.into_inner()) = None;
     }
 
     /// Whether something stands there unread.
-    pub fn has_more(&self) -> bool {
+    pub fn has_unread_data(&self) -> bool {
         let mut socket = self.stream.inner();
         matches!(socket.read(&mut [0; 16]), Ok(n) if n > 0)
     }
 }
 
-impl Read for Timed {
+impl Read for TimedStream {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         let n = self.stream.read(buf)?;
         if self.cut.over.load(Ordering::SeqCst) {
@@ -123,7 +123,7 @@
     }
 }
 
-impl Write for Timed {
+impl Write for TimedStream {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.stream.write(buf)
     }
@@ -152,14 +152,14 @@
 }
 
 /// A header's value in a head.
-pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+pub fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let line = head.lines().filter_map(|l| l.split_once(':')).find(|(n, _)| n.eq_ignore_ascii_case(name));
     line.map(|(_, v)| v.trim())
 }
 
 /// Reads a body of its stated length.
 pub fn read_body(stream: &mut impl Read, buffer: &mut Vec<u8>, head: &str) -> io::Result<Vec<u8>> {
-    let len = header(head, "Content-Length").and_then(|v| v.parse::<usize>().ok()).unwrap_or(0);
+    let len = header_value(head, "Content-Length").and_then(|v| v.parse::<usize>().ok()).unwrap_or(0);
     let mut bytes = vec![0; 16_384];
     while buffer.len() < len {
         match stream.read(&mut bytes)? {
--- a/crates/rehearsal/src/publisher.rs
+++ b/crates/rehearsal/src/publisher.rs
@@ -52,7 +52,7 @@
     }
 
     /// Changes the catalogue and tells of it; returns the new number.
-    pub fn change(&self, changes: impl IntoIterator<Item = Change>) -> Result<u64, String> {
+    pub fn apply_changes(&self, changes: impl IntoIterator<Item = Change>) -> Result<u64, String> {
         let mut inside = self.lock();
         let from = inside.now.number();
         let numbered = (from + 1..).zip(changes).map(|(number, change)| NumberedChange { number, change });
@@ -63,12 +63,12 @@
         Ok(inside.now.number())
     }
 
-    pub fn now(&self) -> Arc<Version> {
+    pub fn version(&self) -> Arc<Version> {
         self.lock().now.clone()
     }
 
     /// Says something to the streams that are open, right or wrong.
-    pub fn say(&self, changes: Vec<NumberedChange>) {
+    pub fn send_unchecked(&self, changes: Vec<NumberedChange>) {
         self.lock().also.push(changes);
         self.more.notify_all();
     }
@@ -81,12 +81,12 @@
     }
 
     /// Flips a byte of every snapshot given from now on.
-    pub fn flip(&self, at: Option<usize>) {
+    pub fn corrupt_snapshot_byte(&self, at: Option<usize>) {
         self.lock().flip = at;
     }
 
     /// Snapshots given out and streams opened so far.
-    pub fn asked(&self) -> (usize, usize) {
+    pub fn request_counts(&self) -> (usize, usize) {
         let inside = self.lock();
         (inside.snapshots, inside.streams)
     }
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -1,13 +1,13 @@
 //! A day played: a depot of stand-ins, real fronts as processes, the script's troubles in their time, a verdict.
 use crate::audit;
-use crate::boxes::{Common, Process};
-use crate::catalogue::Use;
-use crate::deployment::{document, kind, terms, Folder, SEGMENT};
-use crate::depot::Depot;
-use crate::list::Listing;
-use crate::record::{Recorder, Seen};
-use crate::script::{self, Script, Trouble, Which};
-use crate::viewers::{Crowd, Fronts, Title, Viewers};
+use crate::boxes::{BoxContext, BoxProcess};
+use crate::catalogue::CatalogueUse;
+use crate::deployment::{audit_settings, box_settings, front_document, TempFolder, SEGMENT_MS};
+use crate::fleet::Fleet;
+use crate::list_server::ListServer;
+use crate::record::{Observation, Recorder};
+use crate::script::{self, BoxSelection, Fault, Script};
+use crate::viewers::{FrontList, Title, ViewerPopulation, ViewerSurge};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -21,7 +21,7 @@
 use walnutline_dash::{encode_base64url, SigningKey};
 
 #[derive(clap::Args)]
-pub struct Args {
+pub struct RehearseArgs {
     /// The script of the day.
     script: PathBuf,
     /// Where the records go; else they are dropped with the day's other files.
@@ -35,8 +35,8 @@
     #[arg(long)]
     seed: Option<u64>,
     /// What the fronts make of a catalogue of the titles.
-    #[arg(long, value_enum, default_value_t = Use::None)]
-    catalogue: Use,
+    #[arg(long, value_enum, default_value_t = CatalogueUse::None)]
+    catalogue: CatalogueUse,
     /// Play the day with each use of a catalogue, on so many seeds, and compare.
     #[arg(long, value_name = "SEEDS")]
     compare: Option<u64>,
@@ -62,13 +62,13 @@
 
 struct Day {
     script: Script,
-    folder: Folder,
+    folder: TempFolder,
     seen: Arc<Recorder>,
-    common: Arc<Common>,
-    depot: Arc<Depot>,
-    listing: Arc<Listing>,
-    boxes: BTreeMap<u32, Process>,
-    viewers: Arc<Viewers>,
+    common: Arc<BoxContext>,
+    fleet: Arc<Fleet>,
+    listing: Arc<ListServer>,
+    boxes: BTreeMap<u32, BoxProcess>,
+    viewers: Arc<ViewerPopulation>,
     fronts: BTreeMap<u32, FrontProcess>,
     rng: StdRng,
     /// What the script's statements lead to later on.
@@ -85,65 +85,65 @@
     Continue(u32),
 }
 
-pub fn run(args: Args) -> Result<(), String> {
+pub fn run(args: RehearseArgs) -> Result<(), String> {
     let file = args.script.display().to_string();
     let text = std::fs::read_to_string(&args.script).map_err(|e| format!("{file}: {e}"))?;
     let mut script = script::parse(&file, &text)?;
     script.seed = args.seed.unwrap_or(script.seed);
     if let Some(seeds) = args.compare {
-        return crate::catalogue::compare(&script, seeds);
+        return crate::catalogue::compare_uses(&script, seeds);
     }
-    let verdict = play(script.clone(), args.records.as_deref(), false, args.catalogue)?;
-    audit::print(&verdict);
+    let verdict = run_script(script.clone(), args.records.as_deref(), false, args.catalogue)?;
+    audit::print_verdict(&verdict);
     if args.baseline {
-        let random = play(script, None, true, args.catalogue)?;
+        let random = run_script(script, None, true, args.catalogue)?;
         println!("\nbaseline of random holders:");
-        audit::print(&random);
+        audit::print_verdict(&random);
         println!("\nservice {:.3}, of random holders {:.3}", verdict.service, random.service);
     }
-    match verdict.breaks.len() {
+    match verdict.violations.len() {
         0 => Ok(()),
         n => Err(format!("{n} breaks of rules")),
     }
 }
 
 /// Plays a day and judges it. `random_holder`: tokens name one holder, drawn by chance.
-pub fn play(
+pub fn run_script(
     script: Script,
     records: Option<&Path>,
     random_holder: bool,
-    catalogue: Use,
+    catalogue: CatalogueUse,
 ) -> Result<audit::Verdict, String> {
     may::config().set_workers(2).set_stack_size(0x8000);
-    let folder = Folder::new()?;
+    let folder = TempFolder::new()?;
     let own = folder.0.join("records.jsonl");
     let records = records.unwrap_or(&own).to_owned();
     let seen = Arc::new(Recorder::create(&records)?);
-    seen.saw(Seen::Terms(terms()));
+    seen.record(Observation::Settings(audit_settings()));
     let mut day = Day::begin(script, folder, seen, random_holder, catalogue)?;
     let played = day.run();
     day.end();
     played?;
     day.seen.flush()?;
     let text = std::fs::read_to_string(&records).map_err(|e| format!("{}: {e}", records.display()))?;
-    audit::judge(crate::record::read(&text)?)
+    audit::judge(crate::record::parse(&text)?)
 }
 
 impl Day {
     fn begin(
         script: Script,
-        folder: Folder,
+        folder: TempFolder,
         seen: Arc<Recorder>,
         random: bool,
-        catalogue: Use,
+        catalogue: CatalogueUse,
     ) -> Result<Self, String> {
         let mut rng = StdRng::seed_from_u64(script.seed);
-        let kind = kind(&script);
+        let kind = box_settings(&script);
         let issuer = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
         folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
         let mut front_keys = BTreeMap::new();
         let (listing, list) =
-            Listing::start(seen.clone(), LIST_DELAY).map_err(|e| format!("the list: {e}"))?;
+            ListServer::start(seen.clone(), LIST_DELAY).map_err(|e| format!("the list: {e}"))?;
         for front in 0..script.fronts {
             let key = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
             folder.write(&format!("f{front}.secret"), &encode_base64url(key.as_bytes()))?;
@@ -160,36 +160,36 @@
             .collect();
         // Drawn apart: titles that vary leave all else of the day as it is.
         let mut own = StdRng::seed_from_u64(!script.seed);
-        let (least, most) = script.vary;
+        let (least, most) = script.title_rate_factors;
         let factor = |t: &Title| (t.name.clone(), own.random_range(least..=most));
         let factors: BTreeMap<String, f64> = titles.iter().map(factor).collect();
-        let known = catalogue.start(&script, &kind, &titles, &factors)?;
+        let known = catalogue.publish(&script, &kind, &titles, &factors)?;
         for front in 0..script.fronts {
-            let text = document(&script, &kind, &terms(), list, front);
-            let more = known.map_or(String::new(), |source| catalogue.node(source, front));
+            let text = front_document(&script, &kind, &audit_settings(), list, front);
+            let more = known.map_or(String::new(), |source| catalogue.config_node(source, front));
             folder.write(&format!("f{front}.kdl"), &(text + &more))?;
         }
-        let depot = Arc::new(Depot::new(script.boxes, script.racks, kind, seen.clone()));
+        let fleet = Arc::new(Fleet::new(script.boxes, script.racks, kind, seen.clone()));
         let scales = BTreeMap::new();
-        let mut common = Common::new(depot.clone(), front_keys, scales, BYTES_SCALE, SEGMENT);
-        common.factors = factors;
+        let mut common = BoxContext::new(fleet.clone(), front_keys, scales, BYTES_SCALE, SEGMENT_MS);
+        common.title_rate_factors = factors;
         let common = Arc::new(common);
         let shares = [0.35, 0.65];
-        let viewers = Arc::new(Viewers::new(
+        let viewers = Arc::new(ViewerPopulation::new(
             seen.clone(),
-            terms().groups.into_iter().zip(shares).collect(),
+            audit_settings().groups.into_iter().zip(shares).collect(),
             titles,
             issuer,
             b"k1".to_vec(),
-            script.sessions,
-            SEGMENT,
+            script.session_ms,
+            SEGMENT_MS,
         ));
         let mut day = Day {
             script,
             folder,
             seen,
             common,
-            depot,
+            fleet,
             listing,
             boxes: BTreeMap::new(),
             viewers,
@@ -207,7 +207,7 @@
     }
 
     fn start_box(&mut self, server: u32, cold: bool) -> Result<(), String> {
-        let p = Process::start(&self.common, server, cold).map_err(|e| format!("box {server}: {e}"))?;
+        let p = BoxProcess::start(&self.common, server, cold).map_err(|e| format!("box {server}: {e}"))?;
         let line = BoxEntry {
             id: server,
             name: format!("box-{server}"),
@@ -216,12 +216,12 @@
             building: 0,
             kind: 0,
             weight: 1.0,
-            started_at_ms: cold.then(|| self.seen.now()),
-            control_addr: p.control,
-            media_url: format!("http://{}", p.media),
+            started_at_ms: cold.then(|| self.seen.now_ms()),
+            control_addr: p.control_addr,
+            media_url: format!("http://{}", p.media_addr),
         };
         self.boxes.insert(server, p);
-        self.listing.change(vec![line]);
+        self.listing.update(vec![line]);
         Ok(())
     }
 
@@ -254,54 +254,54 @@
             }
             std::thread::sleep(Duration::from_millis(5));
         };
-        self.seen.saw(Seen::FrontUp { front });
-        // Viewers are spread unevenly over the fronts.
+        self.seen.record(Observation::FrontUp { front });
+        // ViewerPopulation are spread unevenly over the fronts.
         let share = 1.0 + f64::from(front % 3) * 0.4;
-        self.with_fronts(|f| f.up.push((front, address, share)));
+        self.with_fronts(|f| f.running.push((front, address, share)));
         Ok(())
     }
 
-    fn with_fronts(&self, change: impl FnOnce(&mut Fronts)) {
+    fn with_fronts(&self, change: impl FnOnce(&mut FrontList)) {
         change(&mut self.viewers.fronts.lock().unwrap_or_else(|e| e.into_inner()));
     }
 
     fn kill_front(&mut self, front: u32) -> Result<(), String> {
         let Some(mut p) = self.fronts.remove(&front) else { return Ok(()) };
-        self.with_fronts(|f| f.up.retain(|(no, ..)| *no != front));
-        self.seen.saw(Seen::FrontDown { front });
+        self.with_fronts(|f| f.running.retain(|(no, ..)| *no != front));
+        self.seen.record(Observation::FrontDown { front });
         let _ = p.child.kill();
         let _ = p.child.wait();
         self.start_front(front, p.started + 1)
     }
 
     fn run(&mut self) -> Result<(), String> {
-        let (viewers, rate, seed) = (self.viewers.clone(), self.script.viewers, self.script.seed);
-        crate::net::spawn(move || viewers.arrive(rate, seed));
+        let (viewers, rate, seed) = (self.viewers.clone(), self.script.viewers_per_second, self.script.seed);
+        crate::net::spawn(move || viewers.run_arrivals(rate, seed));
         let (seen, beats) = (self.seen.clone(), self.viewers.clone());
         crate::net::spawn(move || {
-            while !beats.closed.load(Ordering::SeqCst) {
-                let due = seen.now() + BEAT;
+            while !beats.stopped.load(Ordering::SeqCst) {
+                let due = seen.now_ms() + BEAT;
                 crate::net::sleep(BEAT);
-                let ms = seen.now() - due;
+                let ms = seen.now_ms() - due;
                 if ms > BEAT {
-                    seen.saw(Seen::KitLate { ms });
+                    seen.record(Observation::RecorderLate { delay_ms: ms });
                 }
             }
         });
-        let depot = self.depot.clone();
+        let fleet = self.fleet.clone();
         let closed = self.viewers.clone();
         crate::net::spawn(move || {
-            while !closed.closed.load(Ordering::SeqCst) {
-                depot.sample();
+            while !closed.stopped.load(Ordering::SeqCst) {
+                fleet.sample_loads();
                 crate::net::sleep(50.0);
             }
         });
-        let began = self.seen.now();
-        let mut troubles = self.script.troubles.clone().into_iter().peekable();
+        let began = self.seen.now_ms();
+        let mut troubles = self.script.faults.clone().into_iter().peekable();
         loop {
-            let now = self.seen.now();
+            let now = self.seen.now_ms();
             while let Some((_, trouble)) = troubles.next_if(|(at, _)| began + at <= now) {
-                self.seen.saw(Seen::Trouble { what: format!("{trouble:?}") });
+                self.seen.record(Observation::FaultInjected { description: format!("{trouble:?}") });
                 self.trouble(trouble, now)?;
             }
             self.later.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -309,7 +309,7 @@
                 let (_, what) = self.later.remove(0);
                 self.do_later(what, now)?;
             }
-            if now >= began + self.script.length {
+            if now >= began + self.script.duration_ms {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -318,9 +318,9 @@
 
     /// No more viewers; those that are here play to their end, then the fronts stop.
     fn end(&mut self) {
-        self.viewers.closed.store(true, Ordering::SeqCst);
-        let until = Instant::now() + Duration::from_secs_f64(self.script.sessions.1 / 1_000.0 + 8.0);
-        while self.viewers.here.load(Ordering::SeqCst) > 0 && Instant::now() < until {
+        self.viewers.stopped.store(true, Ordering::SeqCst);
+        let until = Instant::now() + Duration::from_secs_f64(self.script.session_ms.1 / 1_000.0 + 8.0);
+        while self.viewers.active_viewers.load(Ordering::SeqCst) > 0 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(20));
         }
         for (front, mut p) in std::mem::take(&mut self.fronts) {
@@ -345,13 +345,13 @@
         }
     }
 
-    fn pick(&mut self, which: &Which) -> Vec<u32> {
+    fn pick(&mut self, which: &BoxSelection) -> Vec<u32> {
         let all: Vec<u32> = (0..self.script.boxes).collect();
         match which {
-            Which::Box(n) => all.into_iter().filter(|b| b == n).collect(),
-            Which::Rack(n) => all.into_iter().filter(|b| b % self.script.racks == *n).collect(),
-            Which::All => all,
-            Which::Some(n) => {
+            BoxSelection::Box(n) => all.into_iter().filter(|b| b == n).collect(),
+            BoxSelection::Rack(n) => all.into_iter().filter(|b| b % self.script.racks == *n).collect(),
+            BoxSelection::All => all,
+            BoxSelection::Some(n) => {
                 let mut all = all;
                 all.shuffle(&mut self.rng);
                 all.truncate(*n as usize);
@@ -360,21 +360,21 @@
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble, now: f64) -> Result<(), String> {
+    fn trouble(&mut self, trouble: Fault, now: f64) -> Result<(), String> {
         match trouble {
-            Trouble::Kill(which) => {
+            Fault::Kill(which) => {
                 for server in self.pick(&which) {
                     self.kill_box(server, "killed");
                     self.listing.set_state(server, BoxState::Gone);
                 }
             }
-            Trouble::Restart(which) => {
+            Fault::Restart(which) => {
                 // Those that are away come back; where none is, the chosen ones are restarted.
                 let away = (0..self.script.boxes).filter(|b| !self.boxes.contains_key(b)).collect::<Vec<_>>();
                 let chosen = self.pick(&which);
                 let count = chosen.len();
                 let again: Vec<u32> = match which {
-                    Which::Some(_) if !away.is_empty() => away.into_iter().take(count).collect(),
+                    BoxSelection::Some(_) if !away.is_empty() => away.into_iter().take(count).collect(),
                     _ => chosen,
                 };
                 for server in again {
@@ -382,31 +382,39 @@
                     self.start_box(server, true)?;
                 }
             }
-            Trouble::Hang { which, lasts } => self.each(&which, |t| t.hang_until = now + lasts),
-            Trouble::Errors { which, share, lasts } => self.each(&which, |t| t.errors = (share, now + lasts)),
-            Trouble::LoseAnswers { which, share, lasts } => {
-                self.each(&which, |t| t.lose = (share, now + lasts))
+            Fault::Hang { which, lasts } => self.each(&which, |t| t.hang_until = now + lasts),
+            Fault::Errors { which, share, lasts } => {
+                self.each(&which, |t| t.setup_errors = (share, now + lasts))
             }
-            Trouble::Links { which, share, lasts } => self.each(&which, |t| t.link = (share, now + lasts)),
-            Trouble::ReportsLate { late, lasts } => self.depot.lock().reports_late = (late, now + lasts),
-            Trouble::ListLate { late, lasts } => self.listing.late(late, now + lasts),
-            Trouble::Crowd { times, titles, lasts } => {
-                let crowd = Crowd { until: now + lasts, times: times.max(1.0), titles: titles as usize };
-                *self.viewers.crowd.lock().unwrap_or_else(|e| e.into_inner()) = Some(crowd);
+            Fault::LoseAnswers { which, share, lasts } => {
+                self.each(&which, |t| t.lost_answers = (share, now + lasts))
             }
-            Trouble::Roll { which, by, every } => {
+            Fault::Links { which, share, lasts } => {
+                self.each(&which, |t| t.link_limit = (share, now + lasts))
+            }
+            Fault::ReportsLate { late, lasts } => self.fleet.lock().report_delay = (late, now + lasts),
+            Fault::ListLate { late, lasts } => self.listing.set_delay(late, now + lasts),
+            Fault::Crowd { times, titles, lasts } => {
+                let crowd = ViewerSurge {
+                    ends_at_ms: now + lasts,
+                    rate_factor: times.max(1.0),
+                    title_count: titles as usize,
+                };
+                *self.viewers.surge.lock().unwrap_or_else(|e| e.into_inner()) = Some(crowd);
+            }
+            Fault::Roll { which, by, every } => {
                 for (n, wave) in self.pick(&which).chunks(by as usize).enumerate() {
                     self.later.push((now + every * n as f64, Later::Drain(wave.to_vec())));
                 }
             }
-            Trouble::FrontsRestart { within } => {
+            Fault::FrontsRestart { within } => {
                 let n = self.script.fronts;
                 for front in 0..n {
                     let at = now + within * f64::from(front) / f64::from(n);
                     self.later.push((at, Later::KillFront(front)));
                 }
             }
-            Trouble::StopFront { front, lasts } => {
+            Fault::StopFront { front, lasts } => {
                 if let Some(p) = self.fronts.get(&front) {
                     signal(p.child.id(), libc::SIGSTOP);
                     self.later.push((now + lasts, Later::Continue(front)));
@@ -416,10 +424,10 @@
         Ok(())
     }
 
-    fn each(&mut self, which: &Which, change: impl Fn(&mut crate::depot::Troubles)) {
+    fn each(&mut self, which: &BoxSelection, change: impl Fn(&mut crate::fleet::InjectedFaults)) {
         let chosen = self.pick(which);
-        let mut inside = self.depot.lock();
-        chosen.into_iter().for_each(|b| change(&mut inside.boxes[b as usize].troubles));
+        let mut inside = self.fleet.lock();
+        chosen.into_iter().for_each(|b| change(&mut inside.boxes[b as usize].faults));
     }
 
     fn do_later(&mut self, what: Later, now: f64) -> Result<(), String> {
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -28,18 +28,18 @@
     pub fronts: u32,
     pub seed: u64,
     /// Viewers a second.
-    pub viewers: f64,
+    pub viewers_per_second: f64,
     /// Least and greatest factor of titles' true rates over the ladder's.
-    pub vary: (f64, f64),
+    pub title_rate_factors: (f64, f64),
     /// Shortest and longest session, and the length of the day, in milliseconds.
-    pub sessions: (f64, f64),
-    pub length: f64,
-    pub troubles: Vec<(f64, Trouble)>,
+    pub session_ms: (f64, f64),
+    pub duration_ms: f64,
+    pub faults: Vec<(f64, Fault)>,
 }
 
-/// Which boxes a trouble hits.
+/// BoxSelection boxes a trouble hits.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Which {
+pub enum BoxSelection {
     Box(u32),
     Rack(u32),
     /// So many, drawn by chance.
@@ -48,27 +48,27 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Trouble {
-    Kill(Which),
-    Restart(Which),
+pub enum Fault {
+    Kill(BoxSelection),
+    Restart(BoxSelection),
     Hang {
-        which: Which,
+        which: BoxSelection,
         lasts: f64,
     },
     /// Share of the SETUPs that fail.
     Errors {
-        which: Which,
+        which: BoxSelection,
         share: f64,
         lasts: f64,
     },
     /// Share of the SETUPs' answers that are lost.
     LoseAnswers {
-        which: Which,
+        which: BoxSelection,
         share: f64,
         lasts: f64,
     },
     Links {
-        which: Which,
+        which: BoxSelection,
         share: f64,
         lasts: f64,
     },
@@ -86,7 +86,7 @@
         lasts: f64,
     },
     Roll {
-        which: Which,
+        which: BoxSelection,
         by: u32,
         every: f64,
     },
@@ -107,7 +107,7 @@
     Sessions(f64, f64),
     Vary(f64, f64),
     Length(f64),
-    At(f64, Trouble),
+    At(f64, Fault),
     Nothing,
 }
 
@@ -117,11 +117,11 @@
         racks: 3,
         fronts: 3,
         seed: 1,
-        viewers: 20.0,
-        vary: (1.0, 1.0),
-        sessions: (4_000.0, 12_000.0),
-        length: 30_000.0,
-        troubles: Vec::new(),
+        viewers_per_second: 20.0,
+        title_rate_factors: (1.0, 1.0),
+        session_ms: (4_000.0, 12_000.0),
+        duration_ms: 30_000.0,
+        faults: Vec::new(),
     };
     for (n, line) in text.lines().enumerate() {
         let code = line.split('#').next().unwrap_or("");
@@ -135,16 +135,16 @@
             Statement::Boxes(boxes, racks) => (s.boxes, s.racks) = (boxes, racks),
             Statement::Fronts(n) => s.fronts = n,
             Statement::Seed(n) => s.seed = n,
-            Statement::Viewers(n) => s.viewers = n,
-            Statement::Sessions(a, b) => s.sessions = (a, b),
-            Statement::Vary(a, b) => s.vary = (a, b),
-            Statement::Length(t) => s.length = t,
-            Statement::At(t, what) => s.troubles.push((t, what)),
+            Statement::Viewers(n) => s.viewers_per_second = n,
+            Statement::Sessions(a, b) => s.session_ms = (a, b),
+            Statement::Vary(a, b) => s.title_rate_factors = (a, b),
+            Statement::Length(t) => s.duration_ms = t,
+            Statement::At(t, what) => s.faults.push((t, what)),
             Statement::Nothing => {}
         }
         check(&s).map_err(|why| format!("{file}:{}:1: {why}", n + 1))?;
     }
-    s.troubles.sort_by(|a, b| a.0.total_cmp(&b.0));
+    s.faults.sort_by(|a, b| a.0.total_cmp(&b.0));
     Ok(s)
 }
 
@@ -153,12 +153,16 @@
         _ if s.racks == 0 || s.boxes < s.racks => Err("every rack needs a box"),
         _ if s.fronts == 0 || s.fronts > 64 => Err("between 1 and 64 fronts are wanted"),
         _ if s.boxes > 1_000 => Err("at most 1000 boxes are wanted"),
-        _ if !(s.viewers > 0.0 && s.viewers <= 5_000.0) => Err("up to 5000 viewers a second are wanted"),
-        _ if s.sessions.0 > s.sessions.1 => Err("the shortest session is longer than the longest"),
-        _ if !(0.01..=100.0).contains(&s.vary.0) || !(s.vary.0..=100.0).contains(&s.vary.1) => {
+        _ if !(s.viewers_per_second > 0.0 && s.viewers_per_second <= 5_000.0) => {
+            Err("up to 5000 viewers a second are wanted")
+        }
+        _ if s.session_ms.0 > s.session_ms.1 => Err("the shortest session is longer than the longest"),
+        _ if !(0.01..=100.0).contains(&s.title_rate_factors.0)
+            || !(s.title_rate_factors.0..=100.0).contains(&s.title_rate_factors.1) =>
+        {
             Err("titles vary from x0.01, up to x100 at most")
         }
-        _ if s.length > 600_000.0 => Err("a day of at most 600 s is wanted"),
+        _ if s.duration_ms > 600_000.0 => Err("a day of at most 600 s is wanted"),
         _ => Ok(()),
     }
 }
@@ -197,12 +201,12 @@
     preceded(word("for"), cut_err(time)).parse_next(i)
 }
 
-fn which(i: &mut &str) -> Parsed<Which> {
+fn which(i: &mut &str) -> Parsed<BoxSelection> {
     alt((
-        preceded(word("box "), number).map(Which::Box),
-        preceded(word("rack"), number).map(Which::Rack),
-        (word("all"), word("boxes")).value(Which::All),
-        terminated(number, word("boxes")).map(Which::Some),
+        preceded(word("box "), number).map(BoxSelection::Box),
+        preceded(word("rack"), number).map(BoxSelection::Rack),
+        (word("all"), word("boxes")).value(BoxSelection::All),
+        terminated(number, word("boxes")).map(BoxSelection::Some),
     ))
     .context(wanted("box N, rack N, N boxes or all boxes"))
     .parse_next(i)
@@ -248,32 +252,32 @@
     Ok(done)
 }
 
-fn trouble(i: &mut &str) -> Parsed<Trouble> {
+fn trouble(i: &mut &str) -> Parsed<Fault> {
     let mut head = head(
         &TROUBLES,
         "a trouble: kill, restart, hang, errors, lose, links, reports, list, crowd, roll, fronts or stop",
     );
     let mut trouble = dispatch! { head;
-        "kill" => cut_err(which).map(Trouble::Kill),
-        "restart" => cut_err(which).map(Trouble::Restart),
-        "hang" => cut_err((which, lasts)).map(|(which, lasts)| Trouble::Hang { which, lasts }),
+        "kill" => cut_err(which).map(Fault::Kill),
+        "restart" => cut_err(which).map(Fault::Restart),
+        "hang" => cut_err((which, lasts)).map(|(which, lasts)| Fault::Hang { which, lasts }),
         "errors" => cut_err((which, share, lasts))
-            .map(|(which, share, lasts)| Trouble::Errors { which, share, lasts }),
+            .map(|(which, share, lasts)| Fault::Errors { which, share, lasts }),
         "lose" => cut_err((word("answers"), word("of"), which, share, lasts))
-            .map(|(_, _, which, share, lasts)| Trouble::LoseAnswers { which, share, lasts }),
+            .map(|(_, _, which, share, lasts)| Fault::LoseAnswers { which, share, lasts }),
         "links" => cut_err((word("of"), which, word("at"), share, lasts))
-            .map(|(_, which, _, share, lasts)| Trouble::Links { which, share, lasts }),
+            .map(|(_, which, _, share, lasts)| Fault::Links { which, share, lasts }),
         "reports" => cut_err((time, word("late"), lasts))
-            .map(|(late, _, lasts)| Trouble::ReportsLate { late, lasts }),
-        "list" => cut_err((time, word("late"), lasts)).map(|(late, _, lasts)| Trouble::ListLate { late, lasts }),
+            .map(|(late, _, lasts)| Fault::ReportsLate { late, lasts }),
+        "list" => cut_err((time, word("late"), lasts)).map(|(late, _, lasts)| Fault::ListLate { late, lasts }),
         "crowd" => cut_err((delimited('x', float, space1), word("on"), number, word("titles"), lasts))
-            .map(|(times, _, titles, _, lasts)| Trouble::Crowd { times, titles, lasts }),
+            .map(|(times, _, titles, _, lasts)| Fault::Crowd { times, titles, lasts }),
         "roll" => cut_err((which, word("by"), number, word("every"), time))
-            .map(|(which, _, by, _, every)| Trouble::Roll { which, by: by.max(1), every }),
+            .map(|(which, _, by, _, every)| Fault::Roll { which, by: by.max(1), every }),
         "fronts" => cut_err((word("restart"), word("within"), time))
-            .map(|(_, _, within)| Trouble::FrontsRestart { within }),
+            .map(|(_, _, within)| Fault::FrontsRestart { within }),
         "stop" => cut_err((word("front"), number, lasts))
-            .map(|(_, front, lasts)| Trouble::StopFront { front, lasts }),
+            .map(|(_, front, lasts)| Fault::StopFront { front, lasts }),
         _ => fail,
     };
     trouble.parse_next(i)
@@ -293,10 +297,10 @@
             at 9s crowd x4 on 2 titles for 5s\nat 12s roll all boxes by 3 every 3s\n\
             at 15s fronts restart within 1s\nat 15s stop front 1 for 2s\n";
         let s = parse("d", text).unwrap();
-        assert_eq!((s.boxes, s.racks, s.fronts, s.seed, s.length), (4, 2, 2, 9, 60_000.0));
-        assert_eq!((s.vary, s.troubles.len()), ((0.5, 2.0), 12));
-        assert_eq!(s.troubles[0], (250.0, Trouble::Hang { which: Which::Box(2), lasts: 4_000.0 }));
-        assert!(s.troubles.contains(&(9_000.0, Trouble::Crowd { times: 4.0, titles: 2, lasts: 5_000.0 })));
+        assert_eq!((s.boxes, s.racks, s.fronts, s.seed, s.duration_ms), (4, 2, 2, 9, 60_000.0));
+        assert_eq!((s.title_rate_factors, s.faults.len()), ((0.5, 2.0), 12));
+        assert_eq!(s.faults[0], (250.0, Fault::Hang { which: BoxSelection::Box(2), lasts: 4_000.0 }));
+        assert!(s.faults.contains(&(9_000.0, Fault::Crowd { times: 4.0, titles: 2, lasts: 5_000.0 })));
     }
 
     #[test]
--- a/crates/rehearsal/src/standalone.rs
+++ b/crates/rehearsal/src/standalone.rs
@@ -1,11 +1,11 @@
 //! The stand-ins one by one, for a rehearsal put together by hand: a box, a list, viewers.
-use crate::boxes::{Common, Process};
+use crate::boxes::{BoxContext, BoxProcess};
 use crate::deployment;
-use crate::depot::Depot;
-use crate::list::Listing;
+use crate::fleet::Fleet;
+use crate::list_server::ListServer;
 use crate::record::Recorder;
 use crate::script;
-use crate::viewers::{Title, Viewers};
+use crate::viewers::{Title, ViewerPopulation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -53,7 +53,7 @@
     /// Titles with their holders: NAME=1,2,3.
     #[arg(long = "title", required = true)]
     titles: Vec<String>,
-    /// Viewers a second.
+    /// ViewerPopulation a second.
     #[arg(long, default_value_t = 5.0)]
     rate: f64,
     #[arg(long, default_value_t = 10.0)]
@@ -75,7 +75,7 @@
 }
 
 /// Runs one box and prints its line for a list; ends with the process.
-pub fn one_box(args: BoxArgs) -> Result<(), String> {
+pub fn run_box(args: BoxArgs) -> Result<(), String> {
     coroutines();
     let mut keys = BTreeMap::new();
     for (n, given) in args.front_keys.iter().enumerate() {
@@ -85,11 +85,15 @@
         keys.insert(id.as_bytes().to_vec(), (n as u32, key));
     }
     let day = script::parse("box", &format!("boxes {} in 1 racks", args.id + 1))?;
-    let depot =
-        Depot::new(args.id + 1, 1, deployment::kind(&day), Arc::new(Recorder::create(&args.records)?));
-    let common = Common::new(Arc::new(depot), keys, BTreeMap::new(), 0.02, 500.0);
+    let fleet = Fleet::new(
+        args.id + 1,
+        1,
+        deployment::box_settings(&day),
+        Arc::new(Recorder::create(&args.records)?),
+    );
+    let common = BoxContext::new(Arc::new(fleet), keys, BTreeMap::new(), 0.02, 500.0);
     let common = Arc::new(common);
-    let p = Process::start(&common, args.id, args.cold).map_err(|e| format!("box {}: {e}", args.id))?;
+    let p = BoxProcess::start(&common, args.id, args.cold).map_err(|e| format!("box {}: {e}", args.id))?;
     let line = BoxEntry {
         id: args.id,
         name: format!("box-{}", args.id),
@@ -98,23 +102,23 @@
         building: 0,
         kind: 0,
         weight: 1.0,
-        started_at_ms: args.cold.then(|| common.depot.seen.now()),
-        control_addr: p.control,
-        media_url: format!("http://{}", p.media),
+        started_at_ms: args.cold.then(|| common.fleet.recorder.now_ms()),
+        control_addr: p.control_addr,
+        media_url: format!("http://{}", p.media_addr),
     };
     println!("{}", box_list::to_json(&BoxList { boxes: vec![line] }));
     loop {
         std::thread::sleep(Duration::from_millis(100));
-        common.depot.sample();
-        common.depot.seen.flush()?;
+        common.fleet.sample_loads();
+        common.fleet.recorder.flush()?;
     }
 }
 
 /// Serves a list from a file and prints its address; ends with the process.
-pub fn one_list(args: ListArgs) -> Result<(), String> {
+pub fn run_list(args: ListArgs) -> Result<(), String> {
     coroutines();
     let seen = Arc::new(Recorder::create(&args.records)?);
-    let (listing, address) = Listing::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
+    let (listing, address) = ListServer::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
     let (mut read_at, mut known): (Option<SystemTime>, BTreeMap<u32, BoxEntry>) = (None, BTreeMap::new());
     loop {
         let at = std::fs::metadata(&args.file).and_then(|m| m.modified());
@@ -139,20 +143,20 @@
 }
 
 /// Tells what is new or other than before; what the file leaves out is gone.
-fn changed(listing: &Listing, before: BTreeMap<u32, BoxEntry>, list: BoxList) -> BTreeMap<u32, BoxEntry> {
+fn changed(listing: &ListServer, before: BTreeMap<u32, BoxEntry>, list: BoxList) -> BTreeMap<u32, BoxEntry> {
     let now: BTreeMap<u32, BoxEntry> = list.boxes.into_iter().map(|l| (l.id, l)).collect();
     let other = now.values().filter(|l| before.get(&l.id) != Some(l)).cloned();
     let gone = before.values().filter(|l| !now.contains_key(&l.id));
     let lines: Vec<BoxEntry> =
         other.chain(gone.map(|l| BoxEntry { state: BoxState::Gone, ..l.clone() })).collect();
     if !lines.is_empty() {
-        listing.change(lines);
+        listing.update(lines);
     }
     now
 }
 
 /// Lets viewers come for a time and tells how many played.
-pub fn some_viewers(args: ViewersArgs) -> Result<(), String> {
+pub fn run_viewers(args: ViewersArgs) -> Result<(), String> {
     coroutines();
     let seen = Arc::new(Recorder::create(&args.records)?);
     let mut titles = Vec::new();
@@ -162,20 +166,21 @@
         let holders = holders.map_err(|e| format!("{given:?}: {e}"))?;
         titles.push(Title { name: name.into(), holders });
     }
-    let groups = deployment::terms().groups.into_iter().zip([0.35, 0.65]).collect();
+    let groups = deployment::audit_settings().groups.into_iter().zip([0.35, 0.65]).collect();
     let issuer = SigningKey::from_bytes(&key(&args.issuer)?);
     let key_id = args.key_id.into_bytes();
-    let viewers = Viewers::new(seen.clone(), groups, titles, issuer, key_id, (2_000.0, 6_000.0), 500.0);
+    let viewers =
+        ViewerPopulation::new(seen.clone(), groups, titles, issuer, key_id, (2_000.0, 6_000.0), 500.0);
     let viewers = Arc::new(viewers);
     let up = args.fronts.iter().enumerate().map(|(n, a)| (n as u32, *a, 1.0)).collect();
-    viewers.fronts.lock().unwrap_or_else(|e| e.into_inner()).up = up;
-    seen.saw(crate::record::Seen::Terms(deployment::terms()));
+    viewers.fronts.lock().unwrap_or_else(|e| e.into_inner()).running = up;
+    seen.record(crate::record::Observation::Settings(deployment::audit_settings()));
     let v = viewers.clone();
-    crate::net::spawn(move || v.arrive(args.rate, args.seed));
+    crate::net::spawn(move || v.run_arrivals(args.rate, args.seed));
     std::thread::sleep(Duration::from_secs_f64(args.seconds));
-    viewers.closed.store(true, Ordering::SeqCst);
+    viewers.stopped.store(true, Ordering::SeqCst);
     for _ in 0..1_000 {
-        if viewers.here.load(Ordering::SeqCst) == 0 {
+        if viewers.active_viewers.load(Ordering::SeqCst) == 0 {
             break;
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -183,9 +188,10 @@
     seen.flush()?;
     let text = std::fs::read_to_string(&args.records).map_err(|e| e.to_string())?;
     let (mut asked, mut played) = (0, 0);
-    for r in crate::record::read(&text)? {
-        asked += usize::from(matches!(r.seen, crate::record::Seen::Asked { .. }));
-        played += usize::from(matches!(r.seen, crate::record::Seen::Answered { status: 200, .. }));
+    for r in crate::record::parse(&text)? {
+        asked += usize::from(matches!(r.observation, crate::record::Observation::RequestSent { .. }));
+        played +=
+            usize::from(matches!(r.observation, crate::record::Observation::Answered { status: 200, .. }));
     }
     println!("requests {asked}  played {played}");
     Ok(())
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -1,7 +1,7 @@
 //! Stand-in viewers: they come by a seeded distribution, ask with a token and proof of their own, watch segments at
 //! the rate they get, come again or stay away.
-use crate::net::{header, read_body, read_head, sleep, spawn, Timed};
-use crate::record::{GroupTerms, Recorder, Seen};
+use crate::net::{header_value, read_body, read_head, sleep, spawn, TimedStream};
+use crate::record::{GroupSettings, Observation, Recorder};
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
@@ -26,30 +26,30 @@
     pub holders: Vec<u32>,
 }
 
-/// Fronts that viewers may ask, with the share of the viewers that each gets.
+/// FrontList that viewers may ask, with the share of the viewers that each gets.
 #[derive(Default)]
-pub struct Fronts {
-    pub up: Vec<(u32, SocketAddr, f64)>,
+pub struct FrontList {
+    pub running: Vec<(u32, SocketAddr, f64)>,
 }
 
-pub struct Crowd {
-    pub until: f64,
-    pub times: f64,
-    pub titles: usize,
+pub struct ViewerSurge {
+    pub ends_at_ms: f64,
+    pub rate_factor: f64,
+    pub title_count: usize,
 }
 
-pub struct Viewers {
-    pub seen: Arc<Recorder>,
-    pub groups: Vec<(GroupTerms, f64)>,
+pub struct ViewerPopulation {
+    pub recorder: Arc<Recorder>,
+    pub groups: Vec<(GroupSettings, f64)>,
     pub titles: Vec<Title>,
-    pub issuer: SigningKey,
+    pub issuer_key: SigningKey,
     pub key_id: Vec<u8>,
-    pub fronts: Mutex<Fronts>,
-    pub crowd: Mutex<Option<Crowd>>,
-    pub sessions: (f64, f64),
-    pub segment: f64,
-    pub closed: AtomicBool,
-    pub here: AtomicUsize,
+    pub fronts: Mutex<FrontList>,
+    pub surge: Mutex<Option<ViewerSurge>>,
+    pub session_ms: (f64, f64),
+    pub segment_ms: f64,
+    pub stopped: AtomicBool,
+    pub active_viewers: AtomicUsize,
     reqs: AtomicU64,
 }
 
@@ -60,43 +60,43 @@
     Left,
 }
 
-impl Viewers {
+impl ViewerPopulation {
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         seen: Arc<Recorder>,
-        groups: Vec<(GroupTerms, f64)>,
+        groups: Vec<(GroupSettings, f64)>,
         titles: Vec<Title>,
         issuer: SigningKey,
         key_id: Vec<u8>,
         sessions: (f64, f64),
         segment: f64,
     ) -> Self {
-        Viewers {
-            seen,
+        ViewerPopulation {
+            recorder: seen,
             groups,
             titles,
-            issuer,
+            issuer_key: issuer,
             key_id,
             fronts: Mutex::default(),
-            crowd: Mutex::new(None),
-            sessions,
-            segment,
-            closed: AtomicBool::new(false),
-            here: AtomicUsize::new(0),
+            surge: Mutex::new(None),
+            session_ms: sessions,
+            segment_ms: segment,
+            stopped: AtomicBool::new(false),
+            active_viewers: AtomicUsize::new(0),
             reqs: AtomicU64::new(0),
         }
     }
 
     /// Lets viewers come at a mean rate a second until closed.
-    pub fn arrive(self: &Arc<Self>, a_second: f64, seed: u64) {
+    pub fn run_arrivals(self: &Arc<Self>, a_second: f64, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut viewer = 0;
-        while !self.closed.load(Ordering::SeqCst) {
-            let now = self.seen.now();
+        while !self.stopped.load(Ordering::SeqCst) {
+            let now = self.recorder.now_ms();
             let (mut times, mut few) = (1.0, None);
-            if let Some(c) = self.crowd.lock().unwrap_or_else(|e| e.into_inner()).as_ref() {
-                if now < c.until {
-                    (times, few) = (c.times, Some(c.titles));
+            if let Some(c) = self.surge.lock().unwrap_or_else(|e| e.into_inner()).as_ref() {
+                if now < c.ends_at_ms {
+                    (times, few) = (c.rate_factor, Some(c.title_count));
                 }
             }
             let gap = Exp::new(a_second * times / 1_000.0).expect("a rate above 0");
@@ -113,10 +113,10 @@
             };
             viewer += 1;
             let (me, seed, viewer) = (self.clone(), rng.next_u64(), viewer);
-            self.here.fetch_add(1, Ordering::SeqCst);
+            self.active_viewers.fetch_add(1, Ordering::SeqCst);
             spawn(move || {
                 me.visit(viewer, title, StdRng::seed_from_u64(seed));
-                me.here.fetch_sub(1, Ordering::SeqCst);
+                me.active_viewers.fetch_sub(1, Ordering::SeqCst);
             });
         }
     }
@@ -124,7 +124,7 @@
     fn visit(&self, viewer: u64, title: usize, mut rng: StdRng) {
         let key = SigningKey::from_bytes(&std::array::from_fn(|_| rng.random()));
         let group = self.pick_group(&mut rng);
-        let mut length = rng.random_range(self.sessions.0..=self.sessions.1);
+        let mut length = rng.random_range(self.session_ms.0..=self.session_ms.1);
         let title = &self.titles[title];
         let claims = ViewerClaims {
             id: viewer.to_be_bytes().to_vec(),
@@ -134,15 +134,16 @@
             max_rung: None,
             tenant: None,
             not_before: None,
-            expires_at: self.seen.now() + 600_000.0,
+            expires_at: self.recorder.now_ms() + 600_000.0,
             viewer_key: key.verifying_key().to_bytes(),
         };
-        let token = token::mint(&claims, &self.key_id, &self.issuer);
+        let token = token::mint(&claims, &self.key_id, &self.issuer_key);
         for _ in 0..TRIES {
             match self.try_once(viewer, &claims, group, &token, &key, &mut length, &mut rng) {
                 End::Played | End::Left => return,
                 End::Again(advised) => {
-                    if length < 500.0 || !rng.random_bool(COMES_AGAIN) || self.closed.load(Ordering::SeqCst) {
+                    if length < 500.0 || !rng.random_bool(COMES_AGAIN) || self.stopped.load(Ordering::SeqCst)
+                    {
                         return;
                     }
                     sleep(rng.random_range(AGAIN_AFTER.0..AGAIN_AFTER.1).max(advised));
@@ -151,7 +152,7 @@
         }
     }
 
-    fn pick_group(&self, rng: &mut StdRng) -> &GroupTerms {
+    fn pick_group(&self, rng: &mut StdRng) -> &GroupSettings {
         let mut at = rng.random_range(0.0..1.0);
         let found = self.groups.iter().find(|(_, share)| {
             at -= share;
@@ -165,20 +166,20 @@
         &self,
         viewer: u64,
         claims: &ViewerClaims,
-        group: &GroupTerms,
+        group: &GroupSettings,
         token: &str,
         key: &SigningKey,
         length: &mut f64,
         rng: &mut StdRng,
     ) -> End {
-        let fronts = self.fronts.lock().unwrap_or_else(|e| e.into_inner()).up.clone();
+        let fronts = self.fronts.lock().unwrap_or_else(|e| e.into_inner()).running.clone();
         let mut at = rng.random_range(0.0..1.0) * fronts.iter().map(|f| f.2).sum::<f64>();
         let front = fronts.iter().find(|f| {
             at -= f.2;
             at < 0.0
         });
         let Some((front, address, _)) = front else { return End::Again(0.0) };
-        let Ok(mut stream) = Timed::connect(address) else {
+        let Ok(mut stream) = TimedStream::connect(address) else {
             return End::Again(0.0);
         };
         let url = format!("http://{address}{}", claims.manifest_path);
@@ -187,7 +188,7 @@
             id: encode_base64url(&rng.random::<[u8; 12]>()),
             method: "GET".into(),
             url,
-            issued_at: self.seen.now(),
+            issued_at: self.recorder.now_ms(),
             token_hash: token_hash(token),
         };
         let proof = proof::mint(&made, key);
@@ -196,37 +197,41 @@
             "GET {} HTTP/1.1\r\nHost: {address}\r\nCTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n",
             claims.manifest_path
         );
-        let asked = Seen::Asked {
+        let asked = Observation::RequestSent {
             viewer,
-            req,
+            request: req,
             front: *front,
             title: claims.manifest_path.clone(),
             group: group.name.clone(),
-            wait: group.patience,
+            wait_limit_ms: group.wait_limit_ms,
         };
-        self.seen.saw(asked);
-        let asked_at = self.seen.now();
+        self.recorder.record(asked);
+        let asked_at = self.recorder.now_ms();
         if stream.write_all(text.as_bytes()).is_err() {
-            self.seen.saw(Seen::NoAnswer { req });
+            self.recorder.record(Observation::NoAnswer { request: req });
             return End::Again(0.0);
         }
         let early = rng.random_bool(LEAVES_EARLY);
-        let wait = if early { rng.random_range(1.0..20.0) } else { group.patience };
-        stream.reads_within(wait);
+        let wait = if early { rng.random_range(1.0..20.0) } else { group.wait_limit_ms };
+        stream.set_read_timeout(wait);
         let mut buffer = Vec::new();
         let answer = read_head(&mut stream, &mut buffer).and_then(|head| match head {
             Some(head) => Ok(Some((read_body(&mut stream, &mut buffer, &head)?, head))),
             None => Ok(None),
         });
-        stream.reads_freely();
+        stream.clear_read_timeout();
         let (body, head) = match answer {
             Ok(Some(answer)) => answer,
             Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
-                self.seen.saw(if early { Seen::Left { req } } else { Seen::GaveUp { req } });
+                self.recorder.record(if early {
+                    Observation::ViewerLeft { request: req }
+                } else {
+                    Observation::WaitLimitExceeded { request: req }
+                });
                 return if early { End::Left } else { End::Again(0.0) };
             }
             _ => {
-                self.seen.saw(Seen::NoAnswer { req });
+                self.recorder.record(Observation::NoAnswer { request: req });
                 return End::Again(0.0);
             }
         };
@@ -235,20 +240,25 @@
         let plays = manifest.and_then(|m| m.map_err(|e| eprintln!("viewer {viewer}: {e}")).ok());
         let session = plays.as_ref().and_then(session_of);
         let server = session.as_ref().and_then(|(_, token)| server_of(token));
-        self.seen.saw(Seen::Answered { req, status, session: session.as_ref().map(|s| s.0), server });
-        if asked_at + group.patience < self.seen.now() {
-            self.seen.saw(Seen::GaveUp { req });
+        self.recorder.record(Observation::Answered {
+            request: req,
+            status,
+            session: session.as_ref().map(|s| s.0),
+            server,
+        });
+        if asked_at + group.wait_limit_ms < self.recorder.now_ms() {
+            self.recorder.record(Observation::WaitLimitExceeded { request: req });
         }
         let (Some(plays), Some((id, _)), Some(server)) = (plays, session, server) else {
-            let advised = header(&head, "Retry-After-Ms").and_then(|v| v.parse().ok()).unwrap_or(0.0);
+            let advised = header_value(&head, "Retry-After-Ms").and_then(|v| v.parse().ok()).unwrap_or(0.0);
             return End::Again(advised);
         };
         let mut stream = Some(stream);
         let end = self.watch(&mut stream, &mut buffer, plays, id, server, length);
         let Some(stream) = stream else { return end };
         // Whatever else came on this connection was not asked for.
-        if !buffer.is_empty() || stream.has_more() {
-            self.seen.saw(Seen::Again { req });
+        if !buffer.is_empty() || stream.has_unread_data() {
+            self.recorder.record(Observation::ExtraData { request: req });
         }
         end
     }
@@ -256,7 +266,7 @@
     /// Watches segment by segment, renewing the manifest as it says.
     fn watch(
         &self,
-        front: &mut Option<Timed>,
+        front: &mut Option<TimedStream>,
         buffer: &mut Vec<u8>,
         mut plays: mpd::Mpd,
         session: u64,
@@ -264,36 +274,36 @@
         length: &mut f64,
     ) -> End {
         let Some((host, base)) = split_url(&plays.base_url) else { return End::Again(0.0) };
-        let Ok(mut media) = Timed::connect(&host) else {
+        let Ok(mut media) = TimedStream::connect(&host) else {
             return End::Again(0.0);
         };
         let update = mpd::read_duration(&plays.minimum_update_period).unwrap_or(2_000.0);
-        let (mut renewed, mut in_buffer, mut short) = (self.seen.now(), Vec::new(), 0);
+        let (mut renewed, mut in_buffer, mut short) = (self.recorder.now_ms(), Vec::new(), 0);
         let mut number = 1;
         while *length > 0.0 {
-            let began = self.seen.now();
+            let began = self.recorder.now_ms();
             let Some(rep) = plays.period.adaptation_set.representations.last() else {
                 return End::Again(0.0);
             };
-            media.reads_within(self.segment * 10.0);
+            media.set_read_timeout(self.segment_ms * 10.0);
             let ask = format!("GET {base}{}/{number}.m4s HTTP/1.1\r\nHost: {host}\r\n\r\n", rep.id);
             let got = media.write_all(ask.as_bytes()).and_then(|()| read_head(&mut media, &mut in_buffer));
             let Ok(Some(head)) = got else { return End::Again(0.0) };
             if read_body(&mut media, &mut in_buffer, &head).is_err() || !head.contains(" 200 ") {
                 return End::Again(0.0);
             }
-            let took = self.seen.now() - began;
-            let share = (self.segment / took.max(self.segment)).min(1.0);
-            self.seen.saw(Seen::Segment { session, server, share });
+            let took = self.recorder.now_ms() - began;
+            let share = (self.segment_ms / took.max(self.segment_ms)).min(1.0);
+            self.recorder.record(Observation::SegmentPlayed { session, server, delivered_share: share });
             number += 1;
-            *length -= self.segment;
+            *length -= self.segment_ms;
             short = if share < TOO_SHORT { short + 1 } else { 0 };
             if short >= SHORT_FOR {
                 return End::Again(0.0);
             }
-            sleep(self.segment - took);
-            if self.seen.now() - renewed >= update {
-                renewed = self.seen.now();
+            sleep(self.segment_ms - took);
+            if self.recorder.now_ms() - renewed >= update {
+                renewed = self.recorder.now_ms();
                 match front.as_mut().map(|f| renew(f, buffer, &plays.location)) {
                     Some(Ok(Some(next))) => plays = next,
                     // The front is away or late: the picture goes on without it, this connection does not.
@@ -307,13 +317,13 @@
 }
 
 /// Fetches the renewed manifest; none once the session is over.
-fn renew(front: &mut Timed, buffer: &mut Vec<u8>, location: &str) -> io::Result<Option<mpd::Mpd>> {
+fn renew(front: &mut TimedStream, buffer: &mut Vec<u8>, location: &str) -> io::Result<Option<mpd::Mpd>> {
     let (host, path) = split_url(location).ok_or_else(|| io::Error::other("no location"))?;
-    front.reads_within(1_000.0);
+    front.set_read_timeout(1_000.0);
     front.write_all(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes())?;
     let head = read_head(front, buffer)?.ok_or(ErrorKind::UnexpectedEof)?;
     let body = read_body(front, buffer, &head)?;
-    front.reads_freely();
+    front.clear_read_timeout();
     Ok(if head.contains(" 200 ") { mpd::from_xml(&String::from_utf8_lossy(&body)).ok() } else { None })
 }
 
