--- a/crates/wheel/benches/timers.rs
+++ b/crates/wheel/benches/timers.rs
@@ -1,7 +1,8 @@
-//! The wheel beside a binary heap, an ordered map and a wheel of the registry: `cargo bench -p walnutline-wheel`.
+//! Compares the timer wheel with a binary heap, an ordered map and a wheel from crates.io:
+//! `cargo bench -p walnutline-wheel`.
 //!
-//! The pattern of idle time-outs: all timers run; each operation takes one of them back and starts it anew, as a request on
-//! an idle connection does; then all come due. Times in ns an operation.
+//! The load is that of idle time-outs: all timers are running, and each operation cancels one of them and starts it anew,
+//! as a request on an idle connection does. At the end all fire. Times are in ns per operation.
 use hierarchical_hash_wheel_timer::wheels::cancellable::{CancellableTimerEntry, QuadWheelWithOverflow};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,22 +10,22 @@
 use std::time::{Duration, Instant};
 use walnutline_wheel::{Priority, TimerKey, TimerWheel};
 
-/// Longest time of a timer, in ms, and how often one is started anew.
-const LONGEST: u32 = 60_000;
-const AGAIN: usize = 1_000_000;
+const MAX_TIMEOUT_MS: u32 = 60_000;
+/// Operations of cancelling a timer and starting it anew.
+const RESTARTS: usize = 1_000_000;
 
-/// What each structure does.
+/// The operations that are measured for each structure.
 trait Timers {
     type Key: Clone;
     fn start(&mut self, due: u32, n: u32) -> Self::Key;
     fn cancel(&mut self, key: Self::Key);
-    /// How many come due by then.
+    /// Removes all timers that are due by `now` and returns their number.
     fn due(&mut self, now: u32) -> usize;
 }
 
-struct Own(TimerWheel<u32>);
+struct OwnWheel(TimerWheel<u32>);
 
-impl Timers for Own {
+impl Timers for OwnWheel {
     type Key = TimerKey;
     fn start(&mut self, due: u32, n: u32) -> TimerKey {
         self.0.start(f64::from(due), 0.0, Priority::Low, n)
@@ -39,43 +40,44 @@
     }
 }
 
-/// As a heap is used where entries cannot be taken out: what is settled comes up at its time and is passed over.
+/// A heap whose entries cannot be removed: a cancelled entry stays until its due time and is skipped then.
 #[derive(Default)]
 struct Heap {
     heap: BinaryHeap<Reverse<(u32, u32, u32)>>,
-    live: Vec<u32>,
+    /// For each timer, the generation of its running entry.
+    generations: Vec<u32>,
 }
 
 impl Timers for Heap {
     type Key = u32;
     fn start(&mut self, due: u32, n: u32) -> u32 {
-        if self.live.len() <= n as usize {
-            self.live.resize(n as usize + 1, 0);
+        if self.generations.len() <= n as usize {
+            self.generations.resize(n as usize + 1, 0);
         }
-        self.live[n as usize] += 1;
-        self.heap.push(Reverse((due, n, self.live[n as usize])));
+        self.generations[n as usize] += 1;
+        self.heap.push(Reverse((due, n, self.generations[n as usize])));
         n
     }
     fn cancel(&mut self, key: u32) {
-        self.live[key as usize] += 1;
+        self.generations[key as usize] += 1;
     }
     fn due(&mut self, now: u32) -> usize {
         let mut count = 0;
-        while let Some(Reverse((due, n, turn))) = self.heap.peek().copied() {
+        while let Some(Reverse((due, n, generation))) = self.heap.peek().copied() {
             if due > now {
                 break;
             }
             self.heap.pop();
-            count += usize::from(self.live[n as usize] == turn);
+            count += usize::from(self.generations[n as usize] == generation);
         }
         count
     }
 }
 
 #[derive(Default)]
-struct Ordered(BTreeMap<(u32, u32), ()>);
+struct OrderedMap(BTreeMap<(u32, u32), ()>);
 
-impl Timers for Ordered {
+impl Timers for OrderedMap {
     type Key = (u32, u32);
     fn start(&mut self, due: u32, n: u32) -> (u32, u32) {
         self.0.insert((due, n), ());
@@ -100,12 +102,13 @@
     }
 }
 
-struct Registry {
+/// The timer wheel of the `hierarchical_hash_wheel_timer` crate.
+struct HashWheel {
     wheel: QuadWheelWithOverflow<Entry>,
     now: u32,
 }
 
-impl Timers for Registry {
+impl Timers for HashWheel {
     type Key = u32;
     fn start(&mut self, due: u32, n: u32) -> u32 {
         let after = Duration::from_millis(u64::from(due - self.now));
@@ -133,31 +136,31 @@
         seed ^= seed << 17;
         seed
     };
-    let per = |began: Instant, n: usize| began.elapsed().as_secs_f64() * 1e9 / n as f64;
+    let ns_per_operation = |began: Instant, n: usize| began.elapsed().as_secs_f64() * 1e9 / n as f64;
     let began = Instant::now();
     let mut keys: Vec<T::Key> =
-        (0..n).map(|k| timers.start(1 + (draw() % u64::from(LONGEST)) as u32, k)).collect();
-    let start = per(began, n as usize);
+        (0..n).map(|k| timers.start(1 + (draw() % u64::from(MAX_TIMEOUT_MS)) as u32, k)).collect();
+    let start_ns = ns_per_operation(began, n as usize);
     let began = Instant::now();
-    for _ in 0..AGAIN {
+    for _ in 0..RESTARTS {
         let k = (draw() % u64::from(n)) as usize;
         timers.cancel(keys[k].clone());
-        keys[k] = timers.start(1 + (draw() % u64::from(LONGEST)) as u32, k as u32);
+        keys[k] = timers.start(1 + (draw() % u64::from(MAX_TIMEOUT_MS)) as u32, k as u32);
     }
-    let again = per(began, AGAIN);
+    let restart_ns = ns_per_operation(began, RESTARTS);
     let began = Instant::now();
-    let fired: usize = (0..=LONGEST / 10).map(|t| timers.due(t * 10)).sum();
-    let due = per(began, n as usize);
+    let fired: usize = (0..=MAX_TIMEOUT_MS / 10).map(|t| timers.due(t * 10)).sum();
+    let due_ns = ns_per_operation(began, n as usize);
     assert_eq!(fired, n as usize, "{name} lost timers");
-    println!("{n:9} {name:12} {start:7.0} {again:15.0} {due:7.0}");
+    println!("{n:9} {name:12} {start_ns:7.0} {restart_ns:15.0} {due_ns:7.0}");
 }
 
 fn main() {
     println!("   timers structure      start  cancel + start     due");
     for n in [1_000, 100_000, 1_000_000] {
-        measure("wheel", n, Own(TimerWheel::new(1.0, 20.0, 0.0)));
+        measure("wheel", n, OwnWheel(TimerWheel::new(1.0, 20.0, 0.0)));
         measure("BinaryHeap", n, Heap::default());
-        measure("BTreeMap", n, Ordered::default());
-        measure("registry's", n, Registry { wheel: QuadWheelWithOverflow::new(), now: 0 });
+        measure("BTreeMap", n, OrderedMap::default());
+        measure("hash wheel", n, HashWheel { wheel: QuadWheelWithOverflow::new(), now: 0 });
     }
 }
--- a/crates/wheel/src/lib.rs
+++ b/crates/wheel/src/lib.rs
@@ -1,34 +1,36 @@
-//! A hierarchical timer wheel (Varghese and Lauck, 1987) without input or output: times come in with each call.
+//! A hierarchical timer wheel (Varghese and Lauck, 1987). It reads no clock: every call passes the time in.
 //!
-//! - Starting and cancelling a timer are O(1); its record stands in a slab and is used again, so that no timer costs an
-//!   allocation of its own. 32 bytes and the value each.
-//! - Six levels of 64 slots: a timer stands at the level where its time differs from the present one, and moves down as
-//!   that comes near, at most five times. Times beyond the last level wait at its end and are looked at again there.
-//! - A timer is exact to one tick, or has some slack: then its time is put off to a multiple of that, so that many idle
+//! - Starting and cancelling a timer are O(1). Timers live in a slab whose entries are reused, so that no timer needs an
+//!   allocation of its own. An entry takes 32 bytes and the value.
+//! - Six levels of 64 slots. A timer stands on the level of the highest digit in which its due time differs from the
+//!   present tick, and moves down as that time approaches, at most five times. Due times beyond the last level stand in
+//!   its last slot and are placed anew when that slot is reached.
+//! - A timer is exact to one tick. With slack, its due time is rounded up to a multiple of the slack, so that many idle
 //!   time-outs come due together and cost one wake-up.
-//! - What is due is handed out by urgency first, then by time, then in the order of starting: after a stall, set-up
-//!   time-outs go before idle ones. How late it came is told with it and counted.
+//! - Due timers are returned by priority, then by due time, then in the order of starting: after a stall, set-up
+//!   time-outs come before idle ones. Each carries how late it is, and late timers are counted.
 use std::num::Wrapping;
 
 /// Milliseconds with fractions, on the caller's clock.
 pub type Ms = f64;
 
-const BITS: u32 = 6;
-const SLOTS: usize = 1 << BITS;
+const SLOT_BITS: u32 = 6;
+const SLOTS: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 6;
+/// End of a list, in place of an index of the slab.
 const NONE: u32 = u32::MAX;
 
-/// Names a timer that was started; of no more use once it fired or was cancelled.
+/// Identifies a timer that was started; no longer valid once the timer fired or was cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TimerKey {
-    at: u32,
+    index: u32,
     generation: Wrapping<u32>,
 }
 
-/// What goes first when several timers are due.
+/// The order of timers that are due together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Limits of SETUPs and probes.
+    /// Time limits of SETUPs and probes.
     High,
     /// Time-outs of idle connections.
     Low,
@@ -36,109 +38,123 @@
 
 #[derive(Debug)]
 struct Timer<T> {
-    /// In ticks; the slab's free list is kept in `next`.
-    due: u64,
-    started: u64,
-    urgency: Priority,
-    /// Its slot: level times [`SLOTS`] and position.
+    due_tick: u64,
+    /// Number of the start call, from 1 on.
+    start_number: u64,
+    priority: Priority,
+    /// Level times [`SLOTS`] plus position on the level.
     slot: u16,
+    /// Previous timer of the same slot.
     prev: u32,
+    /// Next timer of the same slot; in a free entry, the next free entry.
     next: u32,
     generation: Wrapping<u32>,
+    /// `None` in a free entry.
     value: Option<T>,
 }
 
 /// A timer that came due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FiredTimer<T> {
+    /// The key that the timer had; no longer valid.
     pub key: TimerKey,
+    /// The value that the timer was started with.
     pub value: T,
-    /// How long after its time it was handed out, by the tick.
+    /// Time from the due tick to the call that returned the timer.
     pub late_by_ms: Ms,
 }
 
-/// How late timers were handed out.
+/// Counts of fired and late timers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LatenessStats {
+    /// Timers that fired.
     pub fired: u64,
-    /// Those that were late by more than the caller's bound.
+    /// Timers that were late by more than the bound given to [`TimerWheel::new`].
     pub late: u64,
+    /// Lateness of the latest timer.
     pub max_late_ms: Ms,
 }
 
+/// The timer wheel; `T` is the value that a timer carries.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
-    tick: Ms,
-    bound: Ms,
-    /// The tick up to which all that was due is handed out.
-    now: u64,
+    tick_ms: Ms,
+    lateness_bound: Ms,
+    /// The tick up to which all due timers have been returned.
+    current_tick: u64,
+    /// The slab.
     timers: Vec<Timer<T>>,
-    free: u32,
+    /// First free entry of the slab.
+    first_free: u32,
+    /// First timer of each slot.
     slots: Vec<u32>,
     /// One bit for each slot that is not empty.
-    filled: [u64; LEVELS],
+    occupied: [u64; LEVELS],
     len: usize,
-    started: u64,
+    start_count: u64,
     lateness: LatenessStats,
 }
 
 impl<T> TimerWheel<T> {
-    /// `tick`: to how many milliseconds times are exact. Timers handed out more than `bound` after their time count as
-    /// late.
-    pub fn new(tick: Ms, bound: Ms, now: Ms) -> TimerWheel<T> {
+    /// Creates an empty wheel with ticks of `tick_ms`. A timer counts as late when it is returned more than
+    /// `lateness_bound` after its due time.
+    pub fn new(tick_ms: Ms, lateness_bound: Ms, now: Ms) -> TimerWheel<T> {
         TimerWheel {
-            tick,
-            bound,
-            now: (now / tick) as u64,
+            tick_ms,
+            lateness_bound,
+            current_tick: (now / tick_ms) as u64,
             timers: Vec::new(),
-            free: NONE,
+            first_free: NONE,
             slots: vec![NONE; LEVELS * SLOTS],
-            filled: [0; LEVELS],
+            occupied: [0; LEVELS],
             len: 0,
-            started: 0,
+            start_count: 0,
             lateness: LatenessStats::default(),
         }
     }
 
-    /// Timers that have neither fired nor been cancelled.
+    /// Number of timers that have neither fired nor been cancelled.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether no timer is running.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
+    /// Counts of fired and late timers since the wheel was created.
     pub fn lateness(&self) -> LatenessStats {
         self.lateness
     }
 
-    /// Starts a timer, never handed out before `due`; `slack`: by how much it may be put off to come due with others.
-    pub fn start(&mut self, due: Ms, slack: Ms, urgency: Priority, value: T) -> TimerKey {
-        let ticks = (due / self.tick).ceil().max(0.0) as u64;
-        let step = ((slack / self.tick) as u64).max(1);
-        // Never in the past: what is due already comes with the next advance.
-        let due = ticks.div_ceil(step).saturating_mul(step).max(self.now + 1);
-        let at = self.take_place();
-        self.started += 1;
-        let (started, t) = (self.started, &mut self.timers[at as usize]);
-        (t.due, t.started, t.urgency, t.value) = (due, started, urgency, Some(value));
-        let key = TimerKey { at, generation: t.generation };
+    /// Starts a timer. It never fires before `due`; `slack` is how far it may be delayed to fire together with others.
+    pub fn start(&mut self, due: Ms, slack: Ms, priority: Priority, value: T) -> TimerKey {
+        let ticks = (due / self.tick_ms).ceil().max(0.0) as u64;
+        let step = ((slack / self.tick_ms) as u64).max(1);
+        // A due time in the past fires with the next tick.
+        let due_tick = ticks.div_ceil(step).saturating_mul(step).max(self.current_tick + 1);
+        let index = self.allocate();
+        self.start_count += 1;
+        let (start_number, t) = (self.start_count, &mut self.timers[index as usize]);
+        (t.due_tick, t.start_number, t.priority, t.value) = (due_tick, start_number, priority, Some(value));
+        let key = TimerKey { index, generation: t.generation };
         self.len += 1;
-        self.link(at);
+        self.link(index);
         key
     }
 
-    fn take_place(&mut self) -> u32 {
-        if self.free != NONE {
-            let at = self.free;
-            self.free = self.timers[at as usize].next;
-            return at;
+    /// Takes an entry of the slab.
+    fn allocate(&mut self) -> u32 {
+        if self.first_free != NONE {
+            let index = self.first_free;
+            self.first_free = self.timers[index as usize].next;
+            return index;
         }
         self.timers.push(Timer {
-            due: 0,
-            started: 0,
-            urgency: Priority::Low,
+            due_tick: 0,
+            start_number: 0,
+            priority: Priority::Low,
             slot: 0,
             prev: NONE,
             next: NONE,
@@ -148,52 +164,55 @@
         self.timers.len() as u32 - 1
     }
 
-    /// Takes a timer back; `None` where it has fired or was cancelled before.
+    /// Cancels a timer and returns its value; `None` if it has fired or was cancelled before.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
-        let t = self.timers.get(key.at as usize)?;
+        let t = self.timers.get(key.index as usize)?;
         if t.generation != key.generation || t.value.is_none() {
             return None;
         }
-        self.unlink(key.at);
-        Some(self.release(key.at).0)
+        self.unlink(key.index);
+        Some(self.release(key.index).0)
     }
 
-    /// Gives a place back; its value and key.
-    fn release(&mut self, at: u32) -> (T, TimerKey) {
-        let free = std::mem::replace(&mut self.free, at);
-        let t = &mut self.timers[at as usize];
-        let key = TimerKey { at, generation: t.generation };
+    /// Frees an entry of the slab and returns its value and key.
+    fn release(&mut self, index: u32) -> (T, TimerKey) {
+        let next_free = std::mem::replace(&mut self.first_free, index);
+        let t = &mut self.timers[index as usize];
+        let key = TimerKey { index, generation: t.generation };
         t.generation += 1;
-        t.next = free;
+        t.next = next_free;
         self.len -= 1;
         (t.value.take().expect("a timer in a slot has its value"), key)
     }
 
-    /// The level where a time differs from the present one, and the position there.
-    fn slot_of(&self, due: u64) -> usize {
-        let differs = (due ^ self.now) | 1;
-        let level = ((63 - differs.leading_zeros()) / BITS) as usize;
+    /// The slot for a due tick: the level of the highest digit that differs from the current tick, and the position of
+    /// that digit.
+    fn slot_of(&self, due_tick: u64) -> usize {
+        let difference = (due_tick ^ self.current_tick) | 1;
+        let level = ((63 - difference.leading_zeros()) / SLOT_BITS) as usize;
         if level < LEVELS {
-            return level * SLOTS + (due >> (level as u32 * BITS)) as usize % SLOTS;
+            return level * SLOTS + (due_tick >> (level as u32 * SLOT_BITS)) as usize % SLOTS;
         }
-        // Beyond the last level: at its last slot before the present one comes round again.
+        // Beyond the last level: the slot of that level that is reached last.
         let top = LEVELS as u32 - 1;
-        (LEVELS - 1) * SLOTS + ((self.now >> (top * BITS)) as usize + SLOTS - 1) % SLOTS
+        (LEVELS - 1) * SLOTS + ((self.current_tick >> (top * SLOT_BITS)) as usize + SLOTS - 1) % SLOTS
     }
 
-    fn link(&mut self, at: u32) {
-        let slot = self.slot_of(self.timers[at as usize].due);
-        let head = std::mem::replace(&mut self.slots[slot], at);
+    /// Puts a timer at the head of its slot's list.
+    fn link(&mut self, index: u32) {
+        let slot = self.slot_of(self.timers[index as usize].due_tick);
+        let head = std::mem::replace(&mut self.slots[slot], index);
         if head != NONE {
-            self.timers[head as usize].prev = at;
+            self.timers[head as usize].prev = index;
         }
-        let t = &mut self.timers[at as usize];
+        let t = &mut self.timers[index as usize];
         (t.slot, t.prev, t.next) = (slot as u16, NONE, head);
-        self.filled[slot / SLOTS] |= 1 << (slot % SLOTS);
+        self.occupied[slot / SLOTS] |= 1 << (slot % SLOTS);
     }
 
-    fn unlink(&mut self, at: u32) {
-        let t = &self.timers[at as usize];
+    /// Takes a timer out of its slot's list.
+    fn unlink(&mut self, index: u32) {
+        let t = &self.timers[index as usize];
         let (slot, prev, next) = (usize::from(t.slot), t.prev, t.next);
         if prev == NONE {
             self.slots[slot] = next;
@@ -204,64 +223,66 @@
             self.timers[next as usize].prev = prev;
         }
         if self.slots[slot] == NONE {
-            self.filled[slot / SLOTS] &= !(1 << (slot % SLOTS));
+            self.occupied[slot / SLOTS] &= !(1 << (slot % SLOTS));
         }
     }
 
-    /// The next tick at which a timer is due or a slot is to be looked through.
+    /// The next tick at which a slot that is not empty begins.
     fn next_tick(&self) -> Option<u64> {
-        let at = |level: usize| {
-            let shift = level as u32 * BITS;
-            let here = (self.now >> shift) as u32 % SLOTS as u32;
-            // Slots from the present one on, which comes first again only after all others.
-            let ahead = self.filled[level].rotate_right((here + 1) % SLOTS as u32);
+        let begins_at = |level: usize| {
+            let shift = level as u32 * SLOT_BITS;
+            let current = (self.current_tick >> shift) as u32 % SLOTS as u32;
+            // Bit 0 is the slot after the current one; the current one comes last.
+            let ahead = self.occupied[level].rotate_right((current + 1) % SLOTS as u32);
             let steps = u64::from(ahead.trailing_zeros()) + 1;
-            (self.filled[level] != 0).then(|| ((self.now >> shift) + steps) << shift)
+            (self.occupied[level] != 0).then(|| ((self.current_tick >> shift) + steps) << shift)
         };
-        (0..LEVELS).filter_map(at).min()
+        (0..LEVELS).filter_map(begins_at).min()
     }
 
-    /// When [`TimerWheel::advance`] has something to do; may be before any timer is due, never after.
+    /// The time of the next [`TimerWheel::advance`] that has work to do: possibly before the first timer is due, never
+    /// after.
     pub fn next_wakeup_at(&self) -> Option<Ms> {
-        self.next_tick().map(|t| t as f64 * self.tick)
+        self.next_tick().map(|tick| tick as f64 * self.tick_ms)
     }
 
-    /// Hands out all that is due by now, the urgent first.
+    /// Appends all timers that are due by `now` to `out`, high priority first.
     pub fn advance(&mut self, now: Ms, out: &mut Vec<FiredTimer<T>>) {
-        let until = (now / self.tick).max(0.0) as u64;
+        let until = (now / self.tick_ms).max(0.0) as u64;
         let mut due: Vec<(Priority, u64, u64, u32)> = Vec::new();
         while let Some(next) = self.next_tick().filter(|t| *t <= until) {
-            self.now = next;
-            // Slots that begin at this tick, the widest first: what they hold moves down, at last to this very tick.
+            self.current_tick = next;
+            // Empties the slots that begin at this tick, from the top level down: a timer that is not due yet moves to a
+            // lower level, and may be found there again at this same tick.
             for level in (0..LEVELS).rev() {
-                let shift = level as u32 * BITS;
+                let shift = level as u32 * SLOT_BITS;
                 if next & ((1 << shift) - 1) != 0 {
                     continue;
                 }
                 let slot = level * SLOTS + (next >> shift) as usize % SLOTS;
-                let mut at = std::mem::replace(&mut self.slots[slot], NONE);
-                self.filled[level] &= !(1 << (slot % SLOTS));
-                while at != NONE {
-                    let t = &self.timers[at as usize];
-                    let after = t.next;
-                    if t.due <= next {
-                        due.push((t.urgency, t.due, t.started, at));
+                let mut index = std::mem::replace(&mut self.slots[slot], NONE);
+                self.occupied[level] &= !(1 << (slot % SLOTS));
+                while index != NONE {
+                    let t = &self.timers[index as usize];
+                    let following = t.next;
+                    if t.due_tick <= next {
+                        due.push((t.priority, t.due_tick, t.start_number, index));
                     } else {
-                        self.link(at);
+                        self.link(index);
                     }
-                    at = after;
+                    index = following;
                 }
             }
         }
-        self.now = self.now.max(until);
+        self.current_tick = self.current_tick.max(until);
         due.sort_unstable();
-        for (_, tick, _, at) in due {
-            let late = (now - tick as f64 * self.tick).max(0.0);
+        for (_, due_tick, _, index) in due {
+            let late_by_ms = (now - due_tick as f64 * self.tick_ms).max(0.0);
             self.lateness.fired += 1;
-            self.lateness.late += u64::from(late > self.bound);
-            self.lateness.max_late_ms = self.lateness.max_late_ms.max(late);
-            let (value, key) = self.release(at);
-            out.push(FiredTimer { key, value, late_by_ms: late });
+            self.lateness.late += u64::from(late_by_ms > self.lateness_bound);
+            self.lateness.max_late_ms = self.lateness.max_late_ms.max(late_by_ms);
+            let (value, key) = self.release(index);
+            out.push(FiredTimer { key, value, late_by_ms });
         }
     }
 }
