--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -1,39 +1,58 @@
-//! The auditor: judges the six rules and the service from what the stand-ins saw, and from nothing else.
+//! The auditor: checks the six rules and computes the service figure of a rehearsal, from its records alone.
+//!
+//! 1. Every request gets exactly one answer within the viewer's wait limit, and no answer names a session that no box
+//!    has set up.
+//! 2. No session is set up twice: one SETUP is pending at a time, none is sent while the session plays or where an
+//!    earlier one may have run and must not be repeated, and their number is limited.
+//! 3. A front sends no SETUP to a box after the list has shown it as not ready, but for the drain grace.
+//! 4. No cold box is overloaded.
+//! 5. Sessions keep to the rungs of their service group and to its limit of sessions per title.
+//! 6. SETUPs beyond a session's first stay within the front's retry budget.
 use crate::record::{AuditSettings, Observation, Record};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::Path;
 
-/// A broken rule.
+/// One violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
+    /// Number of the rule, from 1 to 6.
     pub rule: u8,
     pub at_ms: f64,
     pub description: String,
 }
 
+/// The result of an audit.
 #[derive(Debug, Default)]
 pub struct Verdict {
+    /// In the order of their times.
     pub violations: Vec<Violation>,
-    /// Utility started within the start target over utility asked for.
+    /// Utility of the viewers that played within the start target, over the utility of all viewers.
     pub service: f64,
+    /// Number of viewers that sent a request.
     pub viewers: usize,
+    /// Number of requests.
     pub requests: usize,
-    /// Final answers by status; 0 where a killed front or a viewer that left needed none.
+    /// Number of requests by the status of the answer; 0 stands for no answer.
     pub answers_by_status: BTreeMap<u16, usize>,
+    /// Number of SETUPs that boxes received.
     pub setups: usize,
+    /// Those beyond the first of their session.
     pub retry_setups: usize,
-    /// Mean share that segments came at.
+    /// Mean share of the nominal rate that segments arrived at.
     pub mean_delivered_share: f64,
-    /// Time from request to manifest, for those that play: median, 99th percentile.
+    /// Time from request to manifest of the requests that play: median and 99th percentile.
     pub startup_ms: (f64, f64),
+    /// Time of the first record.
     pub started_at_ms: f64,
 }
 
-/// A rule's slack for the two clocks' reading of one event: records are written beside the sockets, not in them.
-const SLACK: f64 = 5.0;
-/// How long a session that came too late may stay at its box.
-const TEARDOWN_WITHIN: f64 = 1_000.0;
+/// Tolerance of the drain grace: events are recorded next to the socket calls, so that the times that two sides record
+/// for one event differ a little.
+const TIME_TOLERANCE_MS: f64 = 5.0;
+/// How long a box may keep a session whose SETUP was answered too late.
+const TEARDOWN_TIMEOUT_MS: f64 = 1_000.0;
 
+/// Audits a record file and prints the verdict; an error if a rule is violated.
 pub fn run(path: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let records = crate::record::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -42,12 +61,14 @@
     if verdict.violations.is_empty() {
         Ok(())
     } else {
-        Err(format!("{} breaks of rules", verdict.violations.len()))
+        Err(format!("{} rule violations", verdict.violations.len()))
     }
 }
 
+/// Prints a verdict with the first violations.
 pub fn print_verdict(v: &Verdict) {
-    let answers: Vec<String> = v.answers_by_status.iter().map(|(s, n)| format!("{n} of {s}")).collect();
+    let answers: Vec<String> =
+        v.answers_by_status.iter().map(|(status, count)| format!("{count} of {status}")).collect();
     println!("viewers {}  requests {}  answers {}", v.viewers, v.requests, answers.join(", "));
     println!(
         "SETUPs {}  further {}  delivered share {:.3}",
@@ -58,12 +79,12 @@
         v.startup_ms.0, v.startup_ms.1
     );
     println!("service {:.3}", v.service);
-    for b in v.violations.iter().take(20) {
+    for violation in v.violations.iter().take(20) {
         println!(
             "rule {} broken at {:.3} s: {}",
-            b.rule,
-            (b.at_ms - v.started_at_ms) / 1_000.0,
-            b.description
+            violation.rule,
+            (violation.at_ms - v.started_at_ms) / 1_000.0,
+            violation.description
         );
     }
     println!("rules {}", if v.violations.is_empty() { "all kept" } else { "BROKEN" });
@@ -71,19 +92,22 @@
 
 #[derive(Default)]
 struct Request {
-    at: f64,
+    sent_at: f64,
     viewer: u64,
     front: u32,
     group: usize,
-    wait: f64,
+    wait_limit: f64,
+    /// Times and statuses.
     answers: Vec<(f64, u16)>,
+    /// Whether no answer is required: the front was killed, or the viewer left.
     excused: bool,
 }
 
 struct Setup {
-    at: f64,
+    received_at: f64,
     server: u32,
-    done: Option<(f64, u16)>,
+    /// Time and status.
+    answer: Option<(f64, u16)>,
 }
 
 #[derive(Default)]
@@ -93,176 +117,217 @@
     title: String,
     setups: Vec<Setup>,
     /// Boxes where it may still play.
-    at: BTreeSet<u32>,
+    possible_servers: BTreeSet<u32>,
 }
 
+/// Judges records, which may be in any order but for the settings, which come first.
 pub fn judge(mut records: Vec<Record>) -> Result<Verdict, String> {
-    let terms = match records.first().map(|r| &r.observation) {
-        Some(Observation::Settings(t)) => t.clone(),
-        _ => return Err("the records do not begin with their terms".into()),
+    let settings = match records.first().map(|r| &r.observation) {
+        Some(Observation::Settings(settings)) => settings.clone(),
+        _ => return Err("the first record does not hold the settings".into()),
     };
     records.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-    let group_no = |name: &str| {
-        let found = terms.groups.iter().position(|g| g.name == name);
-        found.ok_or_else(|| format!("service group {name:?} is not in the terms"))
+    let group_index = |name: &str| {
+        let found = settings.groups.iter().position(|g| g.name == name);
+        found.ok_or_else(|| format!("service group {name:?} is not in the settings"))
     };
-    let ended = records[records.len() - 1].at_ms;
+    let ended_at = records[records.len() - 1].at_ms;
     let mut v = Verdict { started_at_ms: records[0].at_ms, ..Verdict::default() };
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut sessions: HashMap<u64, Session> = HashMap::new();
-    let mut not_ready: HashMap<(u32, u32), f64> = HashMap::new();
-    let mut taken: HashMap<u32, Vec<f64>> = HashMap::new();
-    let mut further: HashMap<u32, Vec<f64>> = HashMap::new();
-    let late: Vec<(f64, f64)> = records.iter().filter_map(kit_late).collect();
-    let mut down: BTreeSet<u32> = BTreeSet::new();
-    let (mut shares, mut played) = ((0.0, 0usize), Vec::new());
-    let mut breaks: Vec<Violation> = Vec::new();
-    for Record { at_ms: at, observation } in records {
-        let mut broken =
-            |rule: u8, what: String| breaks.push(Violation { rule, at_ms: at, description: what });
+    // Since when the list has shown a box as not ready, by front and box.
+    let mut not_ready_since: HashMap<(u32, u32), f64> = HashMap::new();
+    let mut request_times: HashMap<u32, Vec<f64>> = HashMap::new();
+    let mut retry_times: HashMap<u32, Vec<f64>> = HashMap::new();
+    let recorder_delays: Vec<(f64, f64)> = records.iter().filter_map(recorder_delay).collect();
+    let mut killed_fronts: BTreeSet<u32> = BTreeSet::new();
+    // Sum and number of the segments' shares.
+    let (mut shares, mut startup_times) = ((0.0, 0usize), Vec::new());
+    let mut violations: Vec<Violation> = Vec::new();
+    for Record { at_ms, observation } in records {
+        let mut violated =
+            |rule: u8, description: String| violations.push(Violation { rule, at_ms, description });
         match observation {
-            Observation::RequestSent { viewer, request: req, front, group, wait_limit_ms: wait, .. } => {
-                let group = group_no(&group)?;
-                taken.entry(front).or_default().push(at);
-                // What reaches a front after its killing was never taken by a running one.
-                let excused = down.contains(&front);
-                requests
-                    .insert(req, Request { at, viewer, front, group, wait, excused, ..Request::default() });
+            Observation::RequestSent { viewer, request, front, group, wait_limit_ms: wait_limit, .. } => {
+                let group = group_index(&group)?;
+                request_times.entry(front).or_default().push(at_ms);
+                // A request to a front that was killed before can have no answer.
+                let excused = killed_fronts.contains(&front);
+                requests.insert(
+                    request,
+                    Request {
+                        sent_at: at_ms,
+                        viewer,
+                        front,
+                        group,
+                        wait_limit,
+                        excused,
+                        ..Request::default()
+                    },
+                );
             }
-            Observation::Answered { request: req, status, session, server } => {
-                let Some(r) = requests.get_mut(&req) else {
-                    return Err(format!("answer to no request {req}"));
+            Observation::Answered { request, status, session, server } => {
+                let Some(r) = requests.get_mut(&request) else {
+                    return Err(format!("answer to unknown request {request}"));
                 };
-                r.answers.push((at, status));
+                r.answers.push((at_ms, status));
                 if status == 200 {
-                    played.push(at - r.at);
-                    let stands = session.and_then(|s| sessions.get(&s)).is_some_and(|s| {
+                    startup_times.push(at_ms - r.sent_at);
+                    let set_up = session.and_then(|s| sessions.get(&s)).is_some_and(|s| {
                         s.setups
                             .iter()
-                            .any(|o| Some(o.server) == server && o.done.is_some_and(|d| d.1 == 200))
+                            .any(|o| Some(o.server) == server && o.answer.is_some_and(|a| a.1 == 200))
                     });
-                    if !stands {
-                        broken(1, format!("request {req} was given a session that no box has set up"));
+                    if !set_up {
+                        violated(1, format!("request {request} got a session that no box has set up"));
                     }
                 }
             }
-            Observation::ExtraData { request: req } => {
-                broken(1, format!("request {req} was answered more than once"))
+            Observation::ExtraData { request } => {
+                violated(1, format!("request {request} was answered more than once"))
             }
             Observation::WaitLimitExceeded { .. } | Observation::NoAnswer { .. } => {}
-            Observation::ViewerLeft { request: req } => {
-                if let Some(r) = requests.get_mut(&req) {
+            Observation::ViewerLeft { request } => {
+                if let Some(r) = requests.get_mut(&request) {
                     r.excused = true;
                 }
             }
-            Observation::SegmentPlayed { delivered_share: share, .. } => {
-                shares = (shares.0 + share, shares.1 + 1)
+            Observation::SegmentPlayed { delivered_share, .. } => {
+                shares = (shares.0 + delivered_share, shares.1 + 1)
             }
             Observation::SetupReceived { server, front, session, title, group, rung } => {
-                let group = group_no(&group)?;
+                let group = group_index(&group)?;
                 v.setups += 1;
                 let s = sessions.entry(session).or_default();
                 (s.front, s.group, s.title) = (front, group, title);
-                two_at_once(s, at, &terms)
+                overlapping_setup(s, at_ms, &settings)
                     .into_iter()
-                    .for_each(|w| broken(2, format!("session {session}: {w}")));
+                    .for_each(|overlap| violated(2, format!("session {session}: {overlap}")));
                 if !s.setups.is_empty() {
                     v.retry_setups += 1;
-                    further.entry(front).or_default().push(at);
-                    if !terms.groups[group].repeatable {
-                        let ran = s.setups.iter().any(|o| !matches!(o.done, Some((_, 453 | 503))));
-                        if ran {
-                            broken(
+                    retry_times.entry(front).or_default().push(at_ms);
+                    if !settings.groups[group].repeatable {
+                        let may_have_run = s.setups.iter().any(|o| !matches!(o.answer, Some((_, 453 | 503))));
+                        if may_have_run {
+                            violated(
                                 2,
-                                format!("session {session} was set up again though a SETUP may have run"),
+                                format!(
+                                    "session {session} got another SETUP though an earlier one may have run"
+                                ),
                             );
                         }
                     }
                 }
-                s.setups.push(Setup { at, server, done: None });
-                if s.setups.len() > terms.max_setups {
-                    broken(2, format!("session {session} had {} SETUPs", s.setups.len()));
+                s.setups.push(Setup { received_at: at_ms, server, answer: None });
+                if s.setups.len() > settings.max_setups {
+                    violated(2, format!("session {session} had {} SETUPs", s.setups.len()));
                 }
-                if let Some(since) = not_ready.get(&(front, server)) {
-                    if at > since + terms.drain_grace_ms + SLACK + lateness(&late, *since, at) {
-                        broken(
+                if let Some(since) = not_ready_since.get(&(front, server)) {
+                    if at_ms
+                        > since
+                            + settings.drain_grace_ms
+                            + TIME_TOLERANCE_MS
+                            + max_recorder_delay(&recorder_delays, *since, at_ms)
+                    {
+                        violated(
                             3,
                             format!(
-                                "front {front} sent to box {server} {:.0} ms after it was told",
-                                at - since
+                                "front {front} sent a SETUP to box {server} {:.0} ms after the list showed it not ready",
+                                at_ms - since
                             ),
                         );
                     }
                 }
-                if rung < terms.groups[group].lowest_rung {
-                    broken(5, format!("session {session} was set up at rung {rung}, under its floor"));
+                if rung < settings.groups[group].lowest_rung {
+                    violated(
+                        5,
+                        format!("session {session} was set up at rung {rung}, below its lowest rung"),
+                    );
                 }
-                s.at.insert(server);
-                let sent = s.setups.len();
-                let most = terms.groups[group].max_sessions_per_title;
-                let held = if most > 0 { seated(&sessions, session, at, &terms) } else { 0 };
-                if held > most {
-                    broken(5, format!("front {front} holds {held} sessions of one title for {most} seats"));
+                s.possible_servers.insert(server);
+                let setup_count = s.setups.len();
+                let max_sessions = settings.groups[group].max_sessions_per_title;
+                let count = if max_sessions > 0 {
+                    sessions_of_title(&sessions, session, at_ms, &settings)
+                } else {
+                    0
+                };
+                if count > max_sessions {
+                    violated(
+                        5,
+                        format!(
+                            "front {front} has {count} sessions of one title, {max_sessions} are allowed"
+                        ),
+                    );
                 }
-                if let Some((free, share, span)) = terms.retry_budget {
-                    let within = |of: Option<&Vec<f64>>| {
-                        of.map_or(0, |all| all.iter().filter(|t| **t > at - span).count()) as f64
+                if let Some((free, share, window)) = settings.retry_budget {
+                    let count_in_window = |times: Option<&Vec<f64>>| {
+                        times.map_or(0, |all| all.iter().filter(|t| **t > at_ms - window).count()) as f64
                     };
-                    let (more, of) = (within(further.get(&front)), within(taken.get(&front)));
-                    if sent > 1 && more > free + share * of {
-                        broken(6, format!("front {front} sent {more} further SETUPs for {of} requests"));
+                    let (retries, request_count) = (
+                        count_in_window(retry_times.get(&front)),
+                        count_in_window(request_times.get(&front)),
+                    );
+                    if setup_count > 1 && retries > free + share * request_count {
+                        violated(
+                            6,
+                            format!("front {front} sent {retries} retry SETUPs for {request_count} requests"),
+                        );
                     }
                 }
             }
             Observation::SetupAnswered { server, session, status } => {
                 let Some(s) = sessions.get_mut(&session) else { continue };
-                if let Some(o) = s.setups.iter_mut().rev().find(|o| o.server == server && o.done.is_none()) {
-                    o.done = Some((at, status));
+                if let Some(o) = s.setups.iter_mut().rev().find(|o| o.server == server && o.answer.is_none())
+                {
+                    o.answer = Some((at_ms, status));
                 }
                 if status != 200 {
-                    s.at.remove(&server);
+                    s.possible_servers.remove(&server);
                 }
             }
             Observation::SessionEnded { server, session, .. } => {
                 if let Some(s) = sessions.get_mut(&session) {
-                    s.at.remove(&server);
+                    s.possible_servers.remove(&server);
                 }
             }
             Observation::RungSet { session, rung, .. } => {
-                let floor = sessions.get(&session).map_or(0, |s| terms.groups[s.group].lowest_rung);
-                if rung < floor || rung >= terms.rung_count {
-                    broken(5, format!("session {session} was put to rung {rung}, floor {floor}"));
+                let lowest = sessions.get(&session).map_or(0, |s| settings.groups[s.group].lowest_rung);
+                if rung < lowest || rung >= settings.rung_count {
+                    violated(5, format!("session {session} was set to rung {rung}, lowest rung {lowest}"));
                 }
             }
             Observation::ListEntrySent { front, server, state } => {
                 if state == "ready" {
-                    not_ready.remove(&(front, server));
+                    not_ready_since.remove(&(front, server));
                 } else {
-                    not_ready.entry((front, server)).or_insert(at);
+                    not_ready_since.entry((front, server)).or_insert(at_ms);
                 }
             }
             Observation::BoxDown { server, reason } => {
                 if reason == "fell over" {
-                    broken(4, format!("box {server} fell over while cold"));
+                    violated(4, format!("box {server} was overloaded while cold"));
                 }
                 for s in sessions.values_mut() {
-                    s.at.remove(&server);
+                    s.possible_servers.remove(&server);
                 }
             }
             Observation::FrontUp { front } => {
-                down.remove(&front);
+                killed_fronts.remove(&front);
             }
             Observation::FrontDown { front } => {
-                down.insert(front);
-                // Only what it still had time for: an answer that was overdue by then stays owed.
-                let open = |r: &&mut Request| r.front == front && r.answers.is_empty() && at < r.at + r.wait;
+                killed_fronts.insert(front);
+                // Only requests within their wait limit are excused: an answer that was overdue stays missing.
+                let open = |r: &&mut Request| {
+                    r.front == front && r.answers.is_empty() && at_ms < r.sent_at + r.wait_limit
+                };
                 for r in requests.values_mut().filter(open) {
                     r.excused = true;
                 }
-                taken.remove(&front);
-                further.remove(&front);
-                // The one that starts after it holds nothing of what this one held.
-                sessions.values_mut().filter(|s| s.front == front).for_each(|s| s.at.clear());
+                request_times.remove(&front);
+                retry_times.remove(&front);
+                // The process that replaces the front has none of its sessions.
+                sessions.values_mut().filter(|s| s.front == front).for_each(|s| s.possible_servers.clear());
             }
             Observation::Settings(_)
             | Observation::BoxUp { .. }
@@ -270,96 +335,117 @@
             | Observation::FaultInjected { .. } => {}
         }
     }
-    for (no, r) in &requests {
-        let by = |at: f64| r.at + r.wait + lateness(&late, r.at, at);
-        let in_time = r.answers.first().is_some_and(|(at, _)| *at <= by(*at));
+    for (request, r) in &requests {
+        let deadline =
+            |at: f64| r.sent_at + r.wait_limit + max_recorder_delay(&recorder_delays, r.sent_at, at);
+        let in_time = r.answers.first().is_some_and(|(at, _)| *at <= deadline(*at));
         if !in_time && !r.excused {
-            let what = format!("request {no} to front {} had no answer within {:.0} ms", r.front, r.wait);
-            breaks.push(Violation { rule: 1, at_ms: r.at + r.wait, description: what });
+            let description =
+                format!("request {request} to front {} had no answer within {:.0} ms", r.front, r.wait_limit);
+            violations.push(Violation { rule: 1, at_ms: r.sent_at + r.wait_limit, description });
         }
         *v.answers_by_status.entry(r.answers.first().map_or(0, |a| a.1)).or_default() += 1;
     }
-    // An answer that came too late is torn down: within a second at the most.
-    for (id, s) in &sessions {
+    // A session whose SETUP was answered too late must have been torn down within the time-out.
+    for (session, s) in &sessions {
         let plays = |o: &&Setup| {
-            o.done.is_some_and(|(t, status)| status == 200 && t < ended - TEARDOWN_WITHIN)
-                && s.at.contains(&o.server)
+            o.answer.is_some_and(|(at, status)| status == 200 && at < ended_at - TEARDOWN_TIMEOUT_MS)
+                && s.possible_servers.contains(&o.server)
         };
-        let boxes: Vec<u32> = s.setups.iter().filter(plays).map(|o| o.server).collect();
-        if boxes.len() > 1 {
-            breaks.push(Violation {
+        let servers: Vec<u32> = s.setups.iter().filter(plays).map(|o| o.server).collect();
+        if servers.len() > 1 {
+            violations.push(Violation {
                 rule: 2,
-                at_ms: ended,
-                description: format!("session {id} plays at boxes {boxes:?}"),
+                at_ms: ended_at,
+                description: format!("session {session} plays at boxes {servers:?}"),
             });
         }
     }
-    breaks.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-    v.violations = breaks;
+    violations.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+    v.violations = violations;
     v.requests = requests.len();
-    (v.viewers, v.service) = service(&requests, &terms);
+    (v.viewers, v.service) = service(&requests, &settings);
     v.mean_delivered_share = if shares.1 > 0 { shares.0 / shares.1 as f64 } else { 0.0 };
-    played.sort_by(f64::total_cmp);
-    let at = |q: f64| played.get(((played.len() as f64 * q) as usize).min(played.len().max(1) - 1)).copied();
-    v.startup_ms = (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
+    startup_times.sort_by(f64::total_cmp);
+    let quantile = |q: f64| {
+        startup_times
+            .get(((startup_times.len() as f64 * q) as usize).min(startup_times.len().max(1) - 1))
+            .copied()
+    };
+    v.startup_ms = (quantile(0.5).unwrap_or(0.0), quantile(0.99).unwrap_or(0.0));
     Ok(v)
 }
 
-fn kit_late(r: &Record) -> Option<(f64, f64)> {
+fn recorder_delay(r: &Record) -> Option<(f64, f64)> {
     match r.observation {
-        Observation::RecorderLate { delay_ms: ms } => Some((r.at_ms, ms)),
+        Observation::RecorderLate { delay_ms } => Some((r.at_ms, delay_ms)),
         _ => None,
     }
 }
 
-/// How late the kit itself was at most within a span: on a machine that is too busy it reads its sockets late,
-/// and what it saw may have come so much earlier.
-fn lateness(late: &[(f64, f64)], from: f64, to: f64) -> f64 {
-    let within = |(at, ms): &&(f64, f64)| *at >= from && at - ms <= to;
-    late.iter().filter(within).map(|l| l.1).fold(0.0, f64::max)
+/// The largest delay of the stand-ins themselves within a period. On an overloaded machine they read their sockets
+/// late, and what they recorded may have arrived that much earlier.
+fn max_recorder_delay(delays: &[(f64, f64)], from: f64, to: f64) -> f64 {
+    let within = |(at, delay_ms): &&(f64, f64)| *at >= from && at - delay_ms <= to;
+    delays.iter().filter(within).map(|d| d.1).fold(0.0, f64::max)
 }
 
-/// Sessions of one title and service group that a front holds for certain, the given one among them: a SETUP
-/// without an answer counts while the front cannot have given it up.
-fn seated(sessions: &HashMap<u64, Session>, of: u64, now: f64, terms: &AuditSettings) -> usize {
-    let Some(of) = sessions.get(&of) else { return 0 };
-    let holds = |s: &&Session| {
-        let out = |o: &Setup| match o.done {
-            Some((_, status)) => status == 200 && s.at.contains(&o.server),
-            None => now - o.at < terms.min_setup_timeout_ms && s.at.contains(&o.server),
+/// Number of sessions that a front certainly has for the title and service group of the given session, itself
+/// included. A SETUP without an answer counts for as long as the front cannot have given it up.
+fn sessions_of_title(
+    sessions: &HashMap<u64, Session>,
+    session: u64,
+    now: f64,
+    settings: &AuditSettings,
+) -> usize {
+    let Some(session) = sessions.get(&session) else { return 0 };
+    let counts = |s: &&Session| {
+        let active = |o: &Setup| match o.answer {
+            Some((_, status)) => status == 200 && s.possible_servers.contains(&o.server),
+            None => {
+                now - o.received_at < settings.min_setup_timeout_ms && s.possible_servers.contains(&o.server)
+            }
         };
-        s.front == of.front && s.group == of.group && s.title == of.title && s.setups.iter().any(out)
+        s.front == session.front
+            && s.group == session.group
+            && s.title == session.title
+            && s.setups.iter().any(active)
     };
-    sessions.values().filter(holds).count()
+    sessions.values().filter(counts).count()
 }
 
-/// Whether a session has two SETUPs out, or plays at one box while another is asked. From outside, a SETUP is out
-/// until its answer, or until the front can have given it up.
-fn two_at_once(s: &Session, at: f64, terms: &AuditSettings) -> Option<String> {
+/// Describes the overlap when a session gets a SETUP while another is pending or while it plays. Seen from outside, a
+/// SETUP is pending until its answer, or until the front can have given it up.
+fn overlapping_setup(s: &Session, at: f64, settings: &AuditSettings) -> Option<String> {
     let last = s.setups.last()?;
-    match last.done {
-        Some((done, 200)) if s.at.contains(&last.server) && done - last.at < terms.min_setup_timeout_ms => {
-            Some(format!("a further SETUP while it plays at box {}", last.server))
+    match last.answer {
+        Some((answered_at, 200))
+            if s.possible_servers.contains(&last.server)
+                && answered_at - last.received_at < settings.min_setup_timeout_ms =>
+        {
+            Some(format!("another SETUP while it plays at box {}", last.server))
         }
-        None if at - last.at < terms.min_setup_timeout_ms && s.at.contains(&last.server) => {
-            Some(format!("two SETUPs out, the first for {:.0} ms", at - last.at))
+        None if at - last.received_at < settings.min_setup_timeout_ms
+            && s.possible_servers.contains(&last.server) =>
+        {
+            Some(format!("two pending SETUPs, the first for {:.0} ms", at - last.received_at))
         }
         _ => None,
     }
 }
 
-/// A viewer's tries count as one, from the first on.
-fn service(requests: &BTreeMap<u64, Request>, terms: &AuditSettings) -> (usize, f64) {
+/// Number of viewers and the service figure. All attempts of a viewer count as one, from the first request on.
+fn service(requests: &BTreeMap<u64, Request>, settings: &AuditSettings) -> (usize, f64) {
     let mut viewers: BTreeMap<u64, (f64, usize, bool)> = BTreeMap::new();
     for r in requests.values() {
-        let first = viewers.entry(r.viewer).or_insert((r.at, r.group, false));
-        let target = terms.groups[r.group].start_target_ms;
+        let first = viewers.entry(r.viewer).or_insert((r.sent_at, r.group, false));
+        let target = settings.groups[r.group].start_target_ms;
         first.2 |= r.answers.first().is_some_and(|(at, status)| *status == 200 && at - first.0 <= target);
     }
-    let utility = |(_, group, _): &&(f64, usize, bool)| terms.groups[*group].utility;
-    let asked: f64 = viewers.values().map(|v| utility(&v)).sum();
+    let utility = |(_, group, _): &&(f64, usize, bool)| settings.groups[*group].utility;
+    let requested: f64 = viewers.values().map(|v| utility(&v)).sum();
     let started: f64 = viewers.values().filter(|v| v.2).map(|v| utility(&v)).sum();
-    (viewers.len(), if asked > 0.0 { started / asked } else { 0.0 })
+    (viewers.len(), if requested > 0.0 { started / requested } else { 0.0 })
 }
 
 #[cfg(test)]
