--- a/crates/rehearsal/tests/record_format.rs
+++ b/crates/rehearsal/tests/record_format.rs
@@ -1,6 +1,7 @@
 //! Guards the record file format: records written before a rename in the code must be read, and written again to the
 //! same bytes, whatever the fields and variants are called in the code.
 use walnutline_rehearsal::record::{self, Observation, Record};
+use walnutline_rehearsal::script::{self, Fault};
 
 /// One line of each tag, with every field; settings with and without a retry budget.
 const LINES: &str = r#"{"at":1.5,"saw":"terms","groups":[{"name":"any","start_target":1000.0,"patience":3000.0,"utility":2.0,"repeat":true,"floor":1,"seats":4}],"rungs":3,"drain_grace":250.0,"max_setups":3,"budget":[5.0,0.2,10000.0],"least_timeout":100.0}
@@ -75,3 +76,28 @@
         assert_eq!(records[index], Record { at_ms, observation });
     }
 }
+
+#[test]
+fn faults_keep_the_form_in_which_they_are_recorded() {
+    let cases = [
+        ("at 5s kill 3 boxes", "Kill(Some(3))"),
+        ("at 5s restart rack 1", "Restart(Rack(1))"),
+        ("at 5s hang box 2 for 4s", "Hang { which: Box(2), lasts: 4000.0 }"),
+        ("at 5s errors all boxes 50% for 5s", "Errors { which: All, share: 0.5, lasts: 5000.0 }"),
+        (
+            "at 5s lose answers of box 1 30% for 5s",
+            "LoseAnswers { which: Box(1), share: 0.3, lasts: 5000.0 }",
+        ),
+        ("at 5s links of rack 1 at 50% for 9s", "Links { which: Rack(1), share: 0.5, lasts: 9000.0 }"),
+        ("at 5s reports 2s late for 9s", "ReportsLate { late: 2000.0, lasts: 9000.0 }"),
+        ("at 5s list 3s late for 9s", "ListLate { late: 3000.0, lasts: 9000.0 }"),
+        ("at 5s crowd x4 on 2 titles for 5s", "Crowd { times: 4.0, titles: 2, lasts: 5000.0 }"),
+        ("at 5s roll all boxes by 3 every 3s", "Roll { which: All, by: 3, every: 3000.0 }"),
+        ("at 5s fronts restart within 1s", "FrontsRestart { within: 1000.0 }"),
+        ("at 5s stop front 1 for 2s", "StopFront { front: 1, lasts: 2000.0 }"),
+    ];
+    for (statement, recorded) in cases {
+        let faults: Vec<(f64, Fault)> = script::parse("script", statement).unwrap().faults;
+        assert_eq!(format!("{:?}", faults[0].1), recorded);
+    }
+}
