--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,85 +1,118 @@
-//! What the boxes are and carry: links and rack uplinks that share a shortage equally, streams, warmth, troubles.
+//! State of the simulated boxes: their processes, sessions and injected faults, and the load model.
+//!
+//! Sessions ask for bandwidth of their box's link and of their rack's uplink. Where that is more than the capacity, all
+//! sessions that share the link get the same share of their rates. A box that started cold is overloaded by too many
+//! SETUPs in a short time, until it has warmed up.
 use crate::record::{Observation, Recorder};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What all boxes of a rehearsal have in common.
+/// Settings that all boxes of a rehearsal share.
 #[derive(Debug, Clone)]
 pub struct BoxSettings {
+    /// Most sessions of one box.
     pub max_streams: usize,
+    /// Capacity of a box's link.
     pub link_kb_per_s: f64,
+    /// Capacity of a rack's uplink.
     pub uplink_kb_per_s: f64,
+    /// The rates of the ladder, the lowest first.
     pub rung_kb_per_s: Vec<f64>,
-    /// Warm-up: how long, from which share, and the count that pushes a box over.
+    /// How long a box that starts cold takes to warm up.
     pub warm_up_ms: f64,
+    /// The part of its warm set-up rate that a box bears at a cold start; it grows evenly to 1.
     pub initial_share: f64,
+    /// How many times its set-up rate a cold box bears within the window below.
     pub cold_rate_multiple: f64,
     pub cold_window_ms: f64,
-    /// A box is busy while so much of its link is asked for.
+    /// A box answers SETUPs as busy once the rates of its sessions exceed this multiple of its link.
     pub busy_link_use: f64,
 }
 
+/// A session at a box.
 #[derive(Debug, Clone)]
 pub struct Session {
-    /// The box's own name for it, and the front's.
+    /// The session id that the box gave in its answer to the SETUP.
     pub rtsp_session: String,
+    /// The front's number of the session.
     pub id: u64,
-    /// The control connection that it came by.
+    /// The control connection that the SETUP arrived on.
     pub connection: u64,
     pub rung: u8,
+    /// The session's rate as a multiple of the ladder's.
     pub rate_scale: f64,
-    /// When it was last asked for a segment, or began.
+    /// When a segment was last requested; at first, when the session started.
     pub last_fetch_at_ms: f64,
 }
 
+/// Load of a box.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BoxLoad {
+    /// Number of sessions.
     pub streams: f64,
+    /// Rates of the box's sessions over the capacity of its link.
     pub link_use: f64,
+    /// Rates of the rack's sessions over the capacity of its uplink.
     pub uplink_use: f64,
 }
 
+/// The faults of a box; pairs hold a share and the time until which it applies, in Unix milliseconds.
 #[derive(Debug, Clone, Default)]
 pub struct InjectedFaults {
+    /// The box does not respond until then, in Unix milliseconds.
     pub hang_until: f64,
+    /// Share of the SETUPs that fail.
     pub setup_errors: (f64, f64),
+    /// Share of the SETUPs whose answer is lost.
     pub lost_answers: (f64, f64),
-    /// What its link gives, as a share, until then.
+    /// Share of the link's capacity that is left.
     pub link_limit: (f64, f64),
 }
 
+/// A simulated box.
 pub struct SimulatedBox {
     pub id: u32,
     pub rack: u32,
+    /// Whether a process of the box is running.
     pub alive: bool,
+    /// Number of the process, from 1 on.
     pub generation: u64,
     pub started_at_ms: f64,
     pub started_cold: bool,
+    /// By the front's number of the session.
     pub sessions: BTreeMap<u64, Session>,
+    /// Times of the SETUPs within the window for cold boxes; kept while the box is cold.
     pub recent_setups: VecDeque<f64>,
+    /// Sampled loads with their times, the oldest first.
     pub load_history: VecDeque<(f64, BoxLoad)>,
     pub faults: InjectedFaults,
 }
 
+/// The state that [`Fleet`] guards by a lock.
 pub struct FleetState {
     pub boxes: Vec<SimulatedBox>,
-    pub kind: BoxSettings,
+    pub box_settings: BoxSettings,
+    /// How late load reports are and until when, both in milliseconds.
     pub report_delay: (f64, f64),
 }
 
+/// The boxes of a rehearsal, shared by their sockets.
 pub struct Fleet {
-    inside: Mutex<FleetState>,
+    state: Mutex<FleetState>,
     pub recorder: Arc<Recorder>,
 }
 
-/// How late a report is when all is well.
-const REPORT_DELAY: f64 = 200.0;
+/// Delay of load reports without a fault.
+const REPORT_DELAY_MS: f64 = 200.0;
+/// Loads kept for each box.
+const MAX_LOAD_SAMPLES: usize = 200;
 
 impl Fleet {
-    pub fn new(boxes: u32, racks: u32, kind: BoxSettings, recorder: Arc<Recorder>) -> Self {
-        let one = |n: u32| SimulatedBox {
-            id: n,
-            rack: n % racks,
+    /// Creates boxes without processes, spread evenly over the racks.
+    pub fn new(boxes: u32, racks: u32, box_settings: BoxSettings, recorder: Arc<Recorder>) -> Self {
+        let new_box = |id: u32| SimulatedBox {
+            id,
+            rack: id % racks,
             alive: false,
             generation: 0,
             started_at_ms: 0.0,
@@ -89,19 +122,21 @@
             load_history: VecDeque::new(),
             faults: InjectedFaults::default(),
         };
-        let inside = FleetState { boxes: (0..boxes).map(one).collect(), kind, report_delay: (0.0, 0.0) };
-        Fleet { inside: Mutex::new(inside), recorder }
+        let state =
+            FleetState { boxes: (0..boxes).map(new_box).collect(), box_settings, report_delay: (0.0, 0.0) };
+        Fleet { state: Mutex::new(state), recorder }
     }
 
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, FleetState> {
-        self.inside.lock().unwrap_or_else(|e| e.into_inner())
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A box's process starts; returns its generation.
+    /// Starts a process of a box and returns its generation.
     pub fn start_process(&self, server: u32, cold: bool) -> u64 {
         let now = self.recorder.now_ms();
-        let mut inside = self.lock();
-        let b = &mut inside.boxes[server as usize];
+        let mut state = self.lock();
+        let b = &mut state.boxes[server as usize];
         b.generation += 1;
         (b.alive, b.started_at_ms, b.started_cold) = (true, now, cold);
         (b.recent_setups, b.load_history, b.faults) = Default::default();
@@ -109,9 +144,10 @@
         b.generation
     }
 
+    /// Ends a box's process and its sessions; does nothing if none is running.
     pub fn stop_process(&self, server: u32, reason: &str) {
-        let mut inside = self.lock();
-        let b = &mut inside.boxes[server as usize];
+        let mut state = self.lock();
+        let b = &mut state.boxes[server as usize];
         if !std::mem::replace(&mut b.alive, false) {
             return;
         }
@@ -125,17 +161,17 @@
         self.recorder.record(Observation::BoxDown { server, reason: reason.into() });
     }
 
-    /// Whether this process of the box is still the one that runs.
+    /// Whether the process of this generation is still running.
     pub fn is_running(&self, server: u32, generation: u64) -> bool {
-        let inside = self.lock();
-        let b = &inside.boxes[server as usize];
+        let state = self.lock();
+        let b = &state.boxes[server as usize];
         b.alive && b.generation == generation
     }
 
-    /// Records what a process saw; `false` where it had died by then, and saw nothing.
+    /// Records an observation of a process, unless it has ended; returns whether it is running.
     pub fn record_if_running(&self, server: u32, generation: u64, observation: Observation) -> bool {
-        let inside = self.lock();
-        let b = &inside.boxes[server as usize];
+        let state = self.lock();
+        let b = &state.boxes[server as usize];
         let alive = b.alive && b.generation == generation;
         if alive {
             self.recorder.record(observation);
@@ -143,26 +179,26 @@
         alive
     }
 
-    /// Load figures as a probe hears them: as late as reports are.
+    /// The load that a probe is answered with: an earlier sample, as old as reports are late.
     pub fn delayed_load(&self, server: u32) -> BoxLoad {
         let now = self.recorder.now_ms();
-        let inside = self.lock();
-        let (late, until) = inside.report_delay;
-        let late = if now < until { late.max(REPORT_DELAY) } else { REPORT_DELAY };
-        let history = &inside.boxes[server as usize].load_history;
-        let old = history.iter().rev().find(|(t, _)| *t <= now - late);
-        old.or(history.front()).map_or(BoxLoad::default(), |(_, f)| *f)
+        let state = self.lock();
+        let (delay, until) = state.report_delay;
+        let delay = if now < until { delay.max(REPORT_DELAY_MS) } else { REPORT_DELAY_MS };
+        let history = &state.boxes[server as usize].load_history;
+        let sample = history.iter().rev().find(|(at, _)| *at <= now - delay);
+        sample.or(history.front()).map_or(BoxLoad::default(), |(_, load)| *load)
     }
 
-    /// Takes the figures of all boxes, to be heard of later.
+    /// Adds the present load of every box to its history.
     pub fn sample_loads(&self) {
         let now = self.recorder.now_ms();
-        let mut inside = self.lock();
-        for n in 0..inside.boxes.len() {
-            let figures = inside.load(n, now);
-            let history = &mut inside.boxes[n].load_history;
-            history.push_back((now, figures));
-            if history.len() > 200 {
+        let mut state = self.lock();
+        for index in 0..state.boxes.len() {
+            let load = state.load(index, now);
+            let history = &mut state.boxes[index].load_history;
+            history.push_back((now, load));
+            if history.len() > MAX_LOAD_SAMPLES {
                 history.pop_front();
             }
         }
@@ -170,45 +206,49 @@
 }
 
 impl FleetState {
-    pub fn demanded_kb_per_s(&self, n: usize) -> f64 {
-        let kb = |s: &Session| self.kind.rung_kb_per_s[s.rung as usize] * s.rate_scale;
-        self.boxes[n].sessions.values().map(kb).sum()
+    /// Sum of the rates of a box's sessions.
+    pub fn demanded_kb_per_s(&self, index: usize) -> f64 {
+        let rate = |s: &Session| self.box_settings.rung_kb_per_s[s.rung as usize] * s.rate_scale;
+        self.boxes[index].sessions.values().map(rate).sum()
     }
 
-    pub fn load(&self, n: usize, now: f64) -> BoxLoad {
-        let b = &self.boxes[n];
+    /// The present load of a box.
+    pub fn load(&self, index: usize, now: f64) -> BoxLoad {
+        let b = &self.boxes[index];
         let (share, until) = b.faults.link_limit;
-        let gives = if now < until { share.max(0.01) } else { 1.0 };
-        let in_rack = |m: &usize| self.boxes[*m].rack == b.rack;
-        let rack: f64 = (0..self.boxes.len()).filter(in_rack).map(|m| self.demanded_kb_per_s(m)).sum();
+        let link_share = if now < until { share.max(0.01) } else { 1.0 };
+        let in_rack = |other: &usize| self.boxes[*other].rack == b.rack;
+        let rack_demand: f64 =
+            (0..self.boxes.len()).filter(in_rack).map(|other| self.demanded_kb_per_s(other)).sum();
         BoxLoad {
             streams: b.sessions.len() as f64,
-            link_use: self.demanded_kb_per_s(n) / (self.kind.link_kb_per_s * gives),
-            uplink_use: rack / self.kind.uplink_kb_per_s,
+            link_use: self.demanded_kb_per_s(index) / (self.box_settings.link_kb_per_s * link_share),
+            uplink_use: rack_demand / self.box_settings.uplink_kb_per_s,
         }
     }
 
-    /// The share of their rates that sessions at a box get.
-    pub fn delivered_share(&self, n: usize, now: f64) -> f64 {
-        let f = self.load(n, now);
-        1.0 / f.link_use.max(f.uplink_use).max(1.0)
+    /// The share of their rates that the sessions of a box get.
+    pub fn delivered_share(&self, index: usize, now: f64) -> f64 {
+        let load = self.load(index, now);
+        1.0 / load.link_use.max(load.uplink_use).max(1.0)
     }
 
-    /// Takes a SETUP into the count of a cold box; whether it falls over for it.
-    pub fn setup_overloads_cold_box(&mut self, n: usize, now: f64) -> bool {
-        let kind = &self.kind;
-        let (cold, from, span) = (kind.warm_up_ms, kind.initial_share, kind.cold_window_ms);
-        let a_second = kind.max_streams as f64 / cold;
-        let multiple = kind.cold_rate_multiple;
-        let b = &mut self.boxes[n];
+    /// Counts a SETUP at a box; returns whether the box is cold and the SETUP overloads it.
+    pub fn setup_overloads_cold_box(&mut self, index: usize, now: f64) -> bool {
+        let settings = &self.box_settings;
+        let (warm_up_ms, initial_share, window_ms) =
+            (settings.warm_up_ms, settings.initial_share, settings.cold_window_ms);
+        let setups_per_ms = settings.max_streams as f64 / warm_up_ms;
+        let multiple = settings.cold_rate_multiple;
+        let b = &mut self.boxes[index];
         let age = now - b.started_at_ms;
-        if !b.started_cold || age >= cold {
+        if !b.started_cold || age >= warm_up_ms {
             return false;
         }
         b.recent_setups.push_back(now);
-        b.recent_setups.retain(|t| *t > now - span);
-        let warmth = from + (1.0 - from) * age / cold;
-        b.recent_setups.len() as f64 > multiple * a_second * warmth * span
+        b.recent_setups.retain(|t| *t > now - window_ms);
+        let warmth = initial_share + (1.0 - initial_share) * age / warm_up_ms;
+        b.recent_setups.len() as f64 > multiple * setups_per_ms * warmth * window_ms
     }
 }
 
@@ -216,8 +256,8 @@
 mod tests {
     use super::*;
 
-    fn inside() -> FleetState {
-        let kind = BoxSettings {
+    fn three_boxes_in_two_racks() -> FleetState {
+        let box_settings = BoxSettings {
             max_streams: 40,
             link_kb_per_s: 1_000.0,
             uplink_kb_per_s: 1_500.0,
@@ -228,13 +268,14 @@
             cold_window_ms: 1_000.0,
             busy_link_use: 1.2,
         };
-        let recorder = Recorder::create(&std::env::temp_dir().join(format!("depot-{}", std::process::id())));
-        Fleet::new(3, 2, kind, Arc::new(recorder.unwrap())).inside.into_inner().unwrap()
+        let recorder =
+            Recorder::create(&std::env::temp_dir().join(format!("walnutline-fleet-{}", std::process::id())));
+        Fleet::new(3, 2, box_settings, Arc::new(recorder.unwrap())).state.into_inner().unwrap()
     }
 
-    fn play(i: &mut FleetState, n: usize, rungs: &[u8]) {
-        for (k, rung) in rungs.iter().enumerate() {
-            let s = Session {
+    fn add_sessions(state: &mut FleetState, index: usize, rungs: &[u8]) {
+        for (id, rung) in rungs.iter().enumerate() {
+            let session = Session {
                 rtsp_session: String::new(),
                 id: 0,
                 connection: 0,
@@ -242,30 +283,34 @@
                 rate_scale: 1.0,
                 last_fetch_at_ms: 0.0,
             };
-            i.boxes[n].sessions.insert(k as u64, s);
+            state.boxes[index].sessions.insert(id as u64, session);
         }
     }
 
     #[test]
-    fn a_shortage_is_shared_on_links_and_uplinks() {
-        let mut i = inside();
-        play(&mut i, 0, &[1, 1]);
-        assert_eq!(i.delivered_share(0, 0.0), 1.0);
-        i.boxes[0].faults.link_limit = (0.5, 10.0);
-        assert_eq!(i.delivered_share(0, 5.0), 1.0 / 1.6);
-        assert_eq!(i.delivered_share(0, 11.0), 1.0);
-        play(&mut i, 2, &[1, 1, 1]);
-        assert_eq!(i.delivered_share(0, 11.0), 1.0 / (2_000.0 / 1_500.0), "box 2 shares the uplink of box 0");
-        assert_eq!(i.delivered_share(1, 11.0), 1.0);
+    fn sessions_get_equal_shares_of_full_links_and_uplinks() {
+        let mut state = three_boxes_in_two_racks();
+        add_sessions(&mut state, 0, &[1, 1]);
+        assert_eq!(state.delivered_share(0, 0.0), 1.0);
+        state.boxes[0].faults.link_limit = (0.5, 10.0);
+        assert_eq!(state.delivered_share(0, 5.0), 1.0 / 1.6);
+        assert_eq!(state.delivered_share(0, 11.0), 1.0);
+        add_sessions(&mut state, 2, &[1, 1, 1]);
+        assert_eq!(
+            state.delivered_share(0, 11.0),
+            1.0 / (2_000.0 / 1_500.0),
+            "box 2 shares the uplink of box 0"
+        );
+        assert_eq!(state.delivered_share(1, 11.0), 1.0);
     }
 
     #[test]
-    fn a_cold_box_falls_over_at_its_count() {
-        let mut i = inside();
-        (i.boxes[0].started_cold, i.boxes[0].started_at_ms) = (true, 1_000.0);
-        // 40 streams over 10 s at half warmth, times 2: 4 SETUPs in a second.
-        let fell: Vec<bool> = (0..5).map(|_| i.setup_overloads_cold_box(0, 1_000.0)).collect();
-        assert_eq!(fell, [false, false, false, false, true]);
-        assert!(!i.setup_overloads_cold_box(0, 12_000.0), "warm by then");
+    fn a_cold_box_is_overloaded_by_too_many_setups() {
+        let mut state = three_boxes_in_two_racks();
+        (state.boxes[0].started_cold, state.boxes[0].started_at_ms) = (true, 1_000.0);
+        // 40 streams in 10 s, half of it at a cold start, times 2: 4 SETUPs in a second.
+        let overloaded: Vec<bool> = (0..5).map(|_| state.setup_overloads_cold_box(0, 1_000.0)).collect();
+        assert_eq!(overloaded, [false, false, false, false, true]);
+        assert!(!state.setup_overloads_cold_box(0, 12_000.0), "warmed up");
     }
 }
