--- a/crates/cli/src/catalogue.rs
+++ b/crates/cli/src/catalogue.rs
@@ -129,7 +129,7 @@
             .map_err(|e| e.to_string())?
     } else {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-        walnutline_settings::titles::parse(&name, &text).map_err(|faults| {
+        walnutline_settings::catalogue_document::parse(&name, &text).map_err(|faults| {
             let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
             told.join("\n")
         })?
--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -3,7 +3,7 @@
 use signal_hook::iterator::Signals;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use walnutline_settings::Deployment;
+use walnutline_settings::FrontSettings;
 
 #[derive(clap::Args)]
 pub struct Args {
@@ -17,7 +17,7 @@
     address_file: Option<PathBuf>,
 }
 
-fn load(file: &Path) -> Result<Deployment, String> {
+fn load(file: &Path) -> Result<FrontSettings, String> {
     walnutline_settings::load(file).map_err(|faults| {
         let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
         told.join("\n")
@@ -29,8 +29,8 @@
     println!(
         "{}: good; {} service groups, {} rungs",
         file.display(),
-        d.groups.len(),
-        d.terms.rung_kb_per_s.len()
+        d.service_groups.len(),
+        d.policy.rung_kb_per_s.len()
     );
     Ok(())
 }
@@ -38,9 +38,9 @@
 pub fn run(args: Args) -> Result<(), String> {
     let d = load(&args.file)?;
     // Every request in hand is answered within the longest time that a viewer waits.
-    let longest = d.groups.iter().map(|(_, wait)| *wait).fold(0.0, f64::max);
+    let longest = d.service_groups.iter().map(|(_, wait)| *wait).fold(0.0, f64::max);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
-    let listen = d.listen;
+    let listen = d.listen_address;
     let front = walnutline_front::start(d, args.workers).map_err(|e| format!("{listen}: {e}"))?;
     if let Some(file) = &args.address_file {
         // Whole or not at all: it is waited for by its name.
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -49,8 +49,8 @@
         location: format!("{}/s/{}.mpd?CAT={token}", shared.public_url, ticket.id.0),
         started_at_ms: ticket.at,
         published_at_ms: now,
-        update_period_ms: shared.manifest.update,
-        segment_duration_ms: shared.manifest.segment,
+        update_period_ms: shared.manifest.update_period_ms,
+        segment_duration_ms: shared.manifest.segment_duration_ms,
         rungs: in_force.filter_map(rate).collect(),
     };
     Ok(Response {
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -19,7 +19,7 @@
 use walnutline_control::event_stream::{Event, EventReader};
 use walnutline_desk::backoff::Backoff;
 use walnutline_desk::session_manager::Timeouts;
-use walnutline_settings::CatalogueTerms;
+use walnutline_settings::CatalogueSettings;
 
 /// Bytes of a snapshot that are worked at in one piece.
 const PIECE: usize = 4 * 1024;
@@ -34,7 +34,7 @@
 /// What requests have of the catalogue.
 pub struct Known {
     current: Arc<CurrentVersion>,
-    pub terms: CatalogueTerms,
+    pub terms: CatalogueSettings,
     /// Differences counted so far, where they changed since they were last written down.
     differences: Mutex<Option<Counts>>,
 }
@@ -70,7 +70,7 @@
 
 /// Starts to read the store and then to follow. The front serves meanwhile, without a catalogue until it is read; a store
 /// that cannot be read is told of, and the front goes on without it.
-pub fn start(terms: CatalogueTerms, clock: Clock, waits: Timeouts, seed: u64) -> io::Result<Arc<Known>> {
+pub fn start(terms: CatalogueSettings, clock: Clock, waits: Timeouts, seed: u64) -> io::Result<Arc<Known>> {
     let writer = VersionWriter::default();
     let known = Arc::new(Known { current: writer.current(), terms, differences: Mutex::default() });
     let mut keeper = Keeper {
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -28,14 +28,14 @@
 
 /// Reads the first request in a buffer; with how many bytes it took. `None` while it is not whole.
 pub fn read(buffer: &[u8], limits: &ViewerLimits, at: f64) -> Result<Option<(Request, usize)>, Bad> {
-    let mut headers = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut raw = httparse::Request::new(&mut headers);
     let used = match raw.parse(buffer) {
-        Ok(httparse::Status::Complete(used)) if used <= limits.header_bytes => used,
-        Ok(httparse::Status::Partial) if buffer.len() <= limits.header_bytes => return Ok(None),
-        Ok(_) => return bad(431, format!("more than {} bytes of header", limits.header_bytes)),
+        Ok(httparse::Status::Complete(used)) if used <= limits.max_header_bytes => used,
+        Ok(httparse::Status::Partial) if buffer.len() <= limits.max_header_bytes => return Ok(None),
+        Ok(_) => return bad(431, format!("more than {} bytes of header", limits.max_header_bytes)),
         Err(httparse::Error::TooManyHeaders) => {
-            return bad(431, format!("more than {} headers", limits.headers))
+            return bad(431, format!("more than {} headers", limits.max_headers))
         }
         Err(e) => return bad(400, e.to_string()),
     };
@@ -141,13 +141,13 @@
     use test_case::test_case;
 
     const LIMITS: ViewerLimits = ViewerLimits {
-        connections: 1,
-        header_bytes: 600,
-        headers: 8,
-        header_time: 1.0,
-        idle: 1.0,
-        pipelined: 1,
-        write_time: 1.0,
+        max_connections: 1,
+        max_header_bytes: 600,
+        max_headers: 8,
+        request_timeout_ms: 1.0,
+        idle_timeout_ms: 1.0,
+        max_pipelined: 1,
+        write_timeout_ms: 1.0,
     };
 
     fn status(text: &str) -> Option<u16> {
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -62,7 +62,7 @@
             session: self.id.0,
             server: server.0,
             path_prefix: format!("/s/{}/", self.id.0),
-            expires_at: now + shared.manifest.token_lasts,
+            expires_at: now + shared.manifest.session_token_lifetime_ms,
         };
         let token = shared.door.mint(&claims, now)?;
         *minted = Some((server, token.clone()));
@@ -144,7 +144,7 @@
     seed: u64,
 ) -> io::Result<()> {
     let live = SessionManager::new(terms, waits, seed, shared.clock.now());
-    let advisor = shared.catalogue.as_ref().map(|k| RequestAdvisor::new(k.terms.price));
+    let advisor = shared.catalogue.as_ref().map(|k| RequestAdvisor::new(k.terms.probe_budget));
     let mut hub =
         Hub { shared, live, media: HashMap::new(), lines: HashMap::new(), advisor, differed: (0.0, false) };
     std::thread::Builder::new().name("hub".into()).spawn(move || {
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -25,7 +25,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use walnutline_settings::{Deployment, ManifestTerms, ViewerLimits};
+use walnutline_settings::{FrontSettings, ManifestSettings, ViewerLimits};
 
 /// Stack of a coroutine, in words of 8 bytes. The deepest use is a token of the greatest nesting that is read;
 /// `tests/stack.rs` measures it.
@@ -36,7 +36,7 @@
     pub clock: Clock,
     pub door: Door,
     pub viewers: ViewerLimits,
-    pub manifest: ManifestTerms,
+    pub manifest: ManifestSettings,
     /// Rates of the ladder, and by service group its scale and floor.
     pub ladder: Vec<f64>,
     pub groups: Vec<GroupTerms>,
@@ -68,8 +68,8 @@
 
 impl Running {
     /// Puts the keys of another document in force; nothing else of it is taken over.
-    pub fn reload_keys(&self, from: Deployment) {
-        self.shared.door.reload(from.issuer, from.session);
+    pub fn reload_keys(&self, from: FrontSettings) {
+        self.shared.door.reload(from.issuer_keys, from.session_keys);
     }
 
     /// Takes no more viewers, waits until all that are in hand are answered or `within` is over; returns how
@@ -88,14 +88,14 @@
 }
 
 /// Starts a front: binds, follows the list, takes viewers. `workers`: threads that run coroutines.
-pub fn start(d: Deployment, workers: usize) -> io::Result<Running> {
+pub fn start(d: FrontSettings, workers: usize) -> io::Result<Running> {
     may::config().set_workers(workers).set_stack_size(STACK_WORDS);
-    let listener = may::net::TcpListener::bind(d.listen)?;
+    let listener = may::net::TcpListener::bind(d.listen_address)?;
     let address = listener.local_addr()?;
     let clock = Clock::start();
     let seed = d.seed.unwrap_or_else(|| clock.now().to_bits() ^ u64::from(std::process::id()));
     let group = |(n, (name, patience)): (usize, &(String, f64))| {
-        let g = &d.terms.service_groups[n];
+        let g = &d.policy.service_groups[n];
         GroupTerms {
             name: name.clone(),
             scale: g.rate_scale,
@@ -104,15 +104,15 @@
             patience: *patience,
         }
     };
-    let known = d.catalogue.map(|terms| catalogue::start(terms, clock, d.waits, seed)).transpose()?;
+    let known = d.catalogue.map(|terms| catalogue::start(terms, clock, d.timeouts, seed)).transpose()?;
     let (hub, news) = crossbeam_channel::unbounded();
     let shared = Arc::new(Shared {
         clock,
-        door: Door::new(d.admission, d.proofs, d.issuer, d.session),
-        viewers: d.viewers,
+        door: Door::new(d.authorization, d.max_stored_proofs, d.issuer_keys, d.session_keys),
+        viewers: d.viewer_limits,
         manifest: d.manifest,
-        ladder: d.terms.rung_kb_per_s.clone(),
-        groups: d.groups.iter().enumerate().map(group).collect(),
+        ladder: d.policy.rung_kb_per_s.clone(),
+        groups: d.service_groups.iter().enumerate().map(group).collect(),
         public_url: d.public_url.unwrap_or_else(|| format!("http://{address}")),
         catalogue: known,
         hub,
@@ -121,8 +121,8 @@
         connections: AtomicUsize::new(0),
         in_hand: AtomicUsize::new(0),
     });
-    hub::start(shared.clone(), news, d.terms, d.waits, seed)?;
-    list::start(shared.clone(), d.list, d.list_path, d.waits, seed)?;
+    hub::start(shared.clone(), news, d.policy, d.timeouts, seed)?;
+    list::start(shared.clone(), d.list_address, d.list_path, d.timeouts, seed)?;
     viewer::start(shared.clone(), listener, seed)?;
     tracing::info!(%address, "front up");
     Ok(Running { address, shared })
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -56,7 +56,7 @@
 fn accepted(shared: &Arc<Shared>, names: &Arc<Names>, stream: TcpStream) {
     let open = shared.connections.fetch_add(1, Ordering::SeqCst) + 1;
     let _ = stream.set_nodelay(true);
-    let full = open > shared.viewers.connections;
+    let full = open > shared.viewers.max_connections;
     match stream.inner().try_clone() {
         Ok(socket) if !full => {
             let (inbox, msgs) = mpsc::channel();
@@ -65,7 +65,7 @@
                 names: names.clone(),
                 socket,
                 inbox,
-                ahead: Semphore::new(shared.viewers.pipelined),
+                ahead: Semphore::new(shared.viewers.max_pipelined),
                 patience: Patience::new(shared.clock.now()),
             });
             shared.watch.add(&connection);
@@ -163,7 +163,7 @@
 
     /// Writes all of an answer within the time that the settings give for it.
     fn put(&self, bytes: &[u8]) -> bool {
-        let until = self.shared.clock.now() + self.shared.viewers.write_time;
+        let until = self.shared.clock.now() + self.shared.viewers.write_timeout_ms;
         let mut rest = bytes;
         while !rest.is_empty() {
             match (&self.socket).write(rest) {
@@ -327,7 +327,7 @@
 
     /// The title's true rates, where the catalogue has them and they are to be reckoned with.
     fn rates(&self, v: &Version, title: &str) -> Option<Arc<[f64]>> {
-        let wanted = self.shared.catalogue.as_ref().is_some_and(|k| k.terms.rates);
+        let wanted = self.shared.catalogue.as_ref().is_some_and(|k| k.terms.use_title_rates);
         advisor::title_rates(v, title, self.shared.ladder.len()).filter(|_| wanted)
     }
 
--- a/crates/front/src/watch.rs
+++ b/crates/front/src/watch.rs
@@ -109,8 +109,8 @@
     /// while an answer is owed there is no limit here.
     pub fn overdue(&self, now: f64, limits: &ViewerLimits) -> bool {
         let allowed = match (self.partial.load(Ordering::SeqCst), self.waiting.load(Ordering::SeqCst)) {
-            (true, _) => limits.header_time,
-            (false, 0) => limits.idle,
+            (true, _) => limits.request_timeout_ms,
+            (false, 0) => limits.idle_timeout_ms,
             _ => return false,
         };
         let since = f64::from_bits(self.since.load(Ordering::SeqCst));
@@ -125,13 +125,13 @@
     #[test]
     fn each_state_has_its_own_time() {
         let limits = ViewerLimits {
-            connections: 1,
-            header_bytes: 1,
-            headers: 1,
-            header_time: 2_000.0,
-            idle: 60_000.0,
-            pipelined: 1,
-            write_time: 1.0,
+            max_connections: 1,
+            max_header_bytes: 1,
+            max_headers: 1,
+            request_timeout_ms: 2_000.0,
+            idle_timeout_ms: 60_000.0,
+            max_pipelined: 1,
+            write_timeout_ms: 1.0,
         };
         let p = Patience::new(0.0);
         assert!(!p.overdue(59_999.0, &limits));
--- a/crates/settings/src/titles.rs
+++ b/crates/settings/src/catalogue_document.rs
@@ -12,7 +12,7 @@
 //! }
 //! ```
 use crate::document::{Num, Text};
-use crate::{place, syntax, too_deep, Fault, DEEPEST};
+use crate::{place, syntax, too_deep, DocumentError, DEEPEST};
 use knus::span::Span;
 use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::Title;
@@ -56,10 +56,10 @@
 }
 
 /// Reads a catalogue; `file` is its name in what is told of faults.
-pub fn parse(file: &str, text: &str) -> Result<Version, Vec<Fault>> {
-    let fault = |(offset, why): (usize, String)| {
+pub fn parse(file: &str, text: &str) -> Result<Version, Vec<DocumentError>> {
+    let fault = |(offset, reason): (usize, String)| {
         let (line, column) = place(text, offset);
-        Fault { file: file.into(), line, column, why }
+        DocumentError { file: file.into(), line, column, reason }
     };
     if let Some(offset) = too_deep(text) {
         return Err(vec![fault((offset, format!("nested deeper than {DEEPEST}")))]);
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,6 +1,6 @@
 //! From the document to plain values: ranges, names and what has to fit together. All faults are told at once.
 use crate::document::*;
-use crate::{CatalogueTerms, Deployment, ManifestTerms, ViewerLimits};
+use crate::{CatalogueSettings, FrontSettings, ManifestSettings, ViewerLimits};
 use std::net::SocketAddr;
 use std::path::Path;
 use walnutline::ids::Ms;
@@ -44,7 +44,7 @@
     }
 }
 
-pub fn deployment(d: Document, folder: &Path) -> Result<Deployment, Vec<(usize, String)>> {
+pub fn deployment(d: Document, folder: &Path) -> Result<FrontSettings, Vec<(usize, String)>> {
     let mut f = Faults::default();
     let listen = address(&d.listen, "listen", &mut f);
     let (list, list_path) = source(&d.list, "list", &mut f);
@@ -129,13 +129,13 @@
     };
     let v = &d.viewers;
     let viewers = ViewerLimits {
-        connections: f.whole(v.connections, "connections", 1.0, 1e7) as usize,
-        header_bytes: f.whole(v.header_bytes, "header-bytes", 512.0, 65_536.0) as usize,
-        headers: f.whole(v.headers, "headers", 8.0, 256.0) as usize,
-        header_time: f.time(v.header_time, "header-time"),
-        idle: f.time(v.idle, "idle"),
-        pipelined: f.whole(v.pipelined, "pipelined", 1.0, 64.0) as usize,
-        write_time: f.time(v.write_time, "write-time"),
+        max_connections: f.whole(v.connections, "connections", 1.0, 1e7) as usize,
+        max_header_bytes: f.whole(v.header_bytes, "header-bytes", 512.0, 65_536.0) as usize,
+        max_headers: f.whole(v.headers, "headers", 8.0, 256.0) as usize,
+        request_timeout_ms: f.time(v.header_time, "header-time"),
+        idle_timeout_ms: f.time(v.idle, "idle"),
+        max_pipelined: f.whole(v.pipelined, "pipelined", 1.0, 64.0) as usize,
+        write_timeout_ms: f.time(v.write_time, "write-time"),
     };
     let waits = Timeouts {
         connect: f.time(d.waits.connect, "connect"),
@@ -148,23 +148,23 @@
             f.tell(g.setup_timeout.at, "setup-timeout: must be longer than way-back");
         }
     }
-    let manifest = ManifestTerms {
-        segment: f.time(d.manifest.segment, "segment"),
-        update: f.time(d.manifest.update, "update"),
-        token_lasts: f.time(d.manifest.token_lasts, "token-lasts"),
+    let manifest = ManifestSettings {
+        segment_duration_ms: f.time(d.manifest.segment, "segment"),
+        update_period_ms: f.time(d.manifest.update, "update"),
+        session_token_lifetime_ms: f.time(d.manifest.token_lasts, "token-lasts"),
     };
-    let catalogue = d.catalogue.as_ref().map(|c| CatalogueTerms {
+    let catalogue = d.catalogue.as_ref().map(|c| CatalogueSettings {
         folder: folder.join(&c.folder.value),
         source: c.source.as_ref().and_then(|s| {
             let (address, path) = source(s, "source", &mut f);
             address.map(|a| (a, path.trim_end_matches('/').to_owned()))
         }),
-        price: ProbeBudget {
+        probe_budget: ProbeBudget {
             per_request: f.within(c.probes_each, "probes-each", 0.0, 10.0),
             max_saved: f.within(c.probes_saved, "probes-saved", 0.0, 1e5),
             stale_after: f.time(c.news_old, "news-old"),
         },
-        rates: c.rates.unwrap_or(true),
+        use_title_rates: c.rates.unwrap_or(true),
     });
     let admission = AuthorizationPolicy {
         max_proof_age_ms: f.time(d.tokens.proof_age, "proof-age"),
@@ -181,22 +181,22 @@
     else {
         return Err(f.0);
     };
-    Ok(Deployment {
-        listen,
+    Ok(FrontSettings {
+        listen_address: listen,
         public_url: d.public_url.map(|t| t.value.trim_end_matches('/').to_owned()),
-        list,
+        list_address: list,
         list_path,
         seed: d.seed,
-        terms,
-        waits,
-        groups: names,
-        viewers,
-        admission,
-        proofs,
+        policy: terms,
+        timeouts: waits,
+        service_groups: names,
+        viewer_limits: viewers,
+        authorization: admission,
+        max_stored_proofs: proofs,
         manifest,
         catalogue,
-        issuer,
-        session,
+        issuer_keys: issuer,
+        session_keys: session,
     })
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings document of a front (KDL), checked, to plain values. Every fault is told with file, line and
 //! column. What differs by service group, and all limits, come from here; nothing here decides.
+pub mod catalogue_document;
 mod check;
 mod document;
-pub mod titles;
 
 use knus::span::Span;
 use std::net::SocketAddr;
@@ -16,96 +16,96 @@
 use walnutline_gate::keys::KeySet;
 
 /// All that one front is told at its start.
-pub struct Deployment {
-    pub listen: SocketAddr,
+pub struct FrontSettings {
+    pub listen_address: SocketAddr,
     /// How viewers reach this front: the start of the URL that proofs are made for. None: the address that it
     /// listens on.
     pub public_url: Option<String>,
     /// Where the list of boxes is followed.
-    pub list: SocketAddr,
+    pub list_address: SocketAddr,
     pub list_path: String,
     pub seed: Option<u64>,
-    pub terms: PolicySettings,
-    pub waits: Timeouts,
+    pub policy: PolicySettings,
+    pub timeouts: Timeouts,
     /// Service groups by name, in the order of the terms, with the time that viewers wait.
-    pub groups: Vec<(String, Ms)>,
-    pub viewers: ViewerLimits,
-    pub admission: AuthorizationPolicy,
+    pub service_groups: Vec<(String, Ms)>,
+    pub viewer_limits: ViewerLimits,
+    pub authorization: AuthorizationPolicy,
     /// Proofs that are remembered at most within their window.
-    pub proofs: usize,
-    pub manifest: ManifestTerms,
+    pub max_stored_proofs: usize,
+    pub manifest: ManifestSettings,
     /// None: the front has no catalogue.
-    pub catalogue: Option<CatalogueTerms>,
+    pub catalogue: Option<CatalogueSettings>,
     /// Keys that viewers' tokens are signed with.
-    pub issuer: KeySet<VerifyingKey>,
+    pub issuer_keys: KeySet<VerifyingKey>,
     /// Keys that sessions' tokens are signed with.
-    pub session: KeySet<SigningKey>,
+    pub session_keys: KeySet<SigningKey>,
 }
 
 /// Limits on viewers' connections. What happens at each stands in docs/operate/front.md.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ViewerLimits {
-    pub connections: usize,
-    pub header_bytes: usize,
-    pub headers: usize,
+    pub max_connections: usize,
+    pub max_header_bytes: usize,
+    pub max_headers: usize,
     /// For a whole request to come in, from its first byte.
-    pub header_time: Ms,
+    pub request_timeout_ms: Ms,
     /// For the next request to begin.
-    pub idle: Ms,
+    pub idle_timeout_ms: Ms,
     /// Requests taken ahead of the answer to the one before.
-    pub pipelined: usize,
+    pub max_pipelined: usize,
     /// For an answer to be taken off.
-    pub write_time: Ms,
+    pub write_timeout_ms: Ms,
 }
 
 /// Where the catalogue is kept and followed, and what is made of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CatalogueTerms {
+pub struct CatalogueSettings {
     pub folder: PathBuf,
     /// Its publisher: address, and the path that `/snapshot` and `/changes` stand under.
     pub source: Option<(SocketAddr, String)>,
     /// What news of boxes may cost that is asked for ahead of requests.
-    pub price: ProbeBudget,
+    pub probe_budget: ProbeBudget,
     /// Whether titles' true rates are reckoned with.
-    pub rates: bool,
+    pub use_title_rates: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ManifestTerms {
-    pub segment: Ms,
-    pub update: Ms,
+pub struct ManifestSettings {
+    pub segment_duration_ms: Ms,
+    pub update_period_ms: Ms,
     /// How long a session's token is good.
-    pub token_lasts: Ms,
+    pub session_token_lifetime_ms: Ms,
 }
 
 /// What is wrong with a document, and where. Lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct DocumentError {
     pub file: String,
     pub line: usize,
     pub column: usize,
-    pub why: String,
+    pub reason: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for DocumentError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.why)
+        write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.reason)
     }
 }
 
 /// Reads a document from a file; keys named in it by file stand beside it.
-pub fn load(path: &Path) -> Result<Deployment, Vec<Fault>> {
+pub fn load(path: &Path) -> Result<FrontSettings, Vec<DocumentError>> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
-        vec![Fault { file: file.clone(), line: 1, column: 1, why: format!("cannot be read: {e}") }]
+        vec![DocumentError { file: file.clone(), line: 1, column: 1, reason: format!("cannot be read: {e}") }]
     })?;
     parse(&file, &text, path.parent().unwrap_or(Path::new(".")))
 }
 
-pub fn parse(file: &str, text: &str, folder: &Path) -> Result<Deployment, Vec<Fault>> {
-    let fault = |(offset, why): (usize, String)| {
+pub fn parse(file: &str, text: &str, folder: &Path) -> Result<FrontSettings, Vec<DocumentError>> {
+    let fault = |(offset, reason): (usize, String)| {
         let (line, column) = place(text, offset);
-        Fault { file: file.into(), line, column, why }
+        DocumentError { file: file.into(), line, column, reason }
     };
     if let Some(offset) = too_deep(text) {
         return Err(vec![fault((offset, format!("nested deeper than {DEEPEST}")))]);
@@ -142,11 +142,11 @@
         let label = d.labels().into_iter().flatten().next();
         let offset = label.as_ref().map_or(0, |l| l.offset());
         let more = label.and_then(|l| l.label().map(str::to_owned)).filter(|l| !l.is_empty());
-        let why = match more {
+        let reason = match more {
             Some(more) => format!("{d}: {more}"),
             None => d.to_string(),
         };
-        faults.push((offset, why));
+        faults.push((offset, reason));
     }
     if faults.is_empty() {
         faults.push((0, error.to_string()));
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -44,7 +44,7 @@
     let folder = folder(name);
     let result = parse("f.kdl", text, &folder);
     std::fs::remove_dir_all(folder).unwrap();
-    result.err().unwrap_or_default().iter().map(Fault::to_string).collect()
+    result.err().unwrap_or_default().iter().map(DocumentError::to_string).collect()
 }
 
 #[test]
@@ -52,13 +52,13 @@
     let folder = folder("good");
     let d = parse("f.kdl", GOOD, &folder).unwrap_or_else(|f| panic!("{f:?}"));
     std::fs::remove_dir_all(folder).unwrap();
-    assert_eq!(d.groups[1], ("board-loop".to_owned(), 5_000.0));
-    assert_eq!(d.terms.rung_kb_per_s, [200.0, 450.5]);
-    assert_eq!((d.terms.service_groups[1].lowest_rung, d.terms.service_groups[1].highest_rung), (1, 1));
-    assert_eq!(d.terms.retry_budget.map(|b| b.free_retries), Some(5.0));
-    assert!(d.terms.reports_by_probe && d.terms.max_retry_after.is_some());
+    assert_eq!(d.service_groups[1], ("board-loop".to_owned(), 5_000.0));
+    assert_eq!(d.policy.rung_kb_per_s, [200.0, 450.5]);
+    assert_eq!((d.policy.service_groups[1].lowest_rung, d.policy.service_groups[1].highest_rung), (1, 1));
+    assert_eq!(d.policy.retry_budget.map(|b| b.free_retries), Some(5.0));
+    assert!(d.policy.reports_by_probe && d.policy.max_retry_after.is_some());
     assert_eq!(d.list_path, "/boxes");
-    assert!(d.session.signing_key(1.9e12).is_some() && d.session.signing_key(2e12).is_none());
+    assert!(d.session_keys.signing_key(1.9e12).is_some() && d.session_keys.signing_key(2e12).is_none());
 }
 
 #[test]
