--- a/crates/front/src/boxes.rs
+++ b/crates/front/src/boxes.rs
@@ -1,6 +1,6 @@
 //! Control connections to boxes: one coroutine reads, one writes. They turn messages to bytes and back; what a
 //! message means for a session is the desk's to say.
-use crate::hub::{News, Ticket};
+use crate::hub::{HubEvent, SessionContext};
 use crate::Shared;
 use may::net::TcpStream;
 use may::sync::mpsc;
@@ -12,27 +12,27 @@
 use walnutline_control::rtsp::{self, ControlRequest, Message, MessageReader};
 use walnutline_desk::session_manager::{LoadReport, ResponseStatus, ServerMessage, ServerRequest};
 
-pub enum Out {
-    Ask {
+pub enum OutgoingMessage {
+    Request {
         cseq: u32,
-        what: ServerRequest<Ticket>,
+        request: ServerRequest<SessionContext>,
     },
     /// The answer to a message of the box.
-    Reply {
+    Response {
         cseq: u32,
         status: u16,
     },
 }
 
 /// The hub's end of an open connection.
-pub struct Line {
-    pub out: mpsc::Sender<Out>,
+pub struct BoxConnection {
+    pub sender: mpsc::Sender<OutgoingMessage>,
     /// The socket once more, to shut it whatever its coroutines wait for.
     pub socket: std::net::TcpStream,
 }
 
-impl Line {
-    pub fn shut(&self) {
+impl BoxConnection {
+    pub fn shut_down(&self) {
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 }
@@ -57,16 +57,16 @@
             Ok(halves) => halves,
             Err(e) => {
                 tracing::debug!(server = server.0, %address, "no control connection: {e}");
-                let _ = shared.hub.send(News::NotConnected { server, conn });
+                let _ = shared.hub_events.send(HubEvent::ConnectionFailed { server, conn });
                 return;
             }
         };
         let (out, outs) = mpsc::channel();
         let progress = Arc::new(Progress::default());
-        let _ = shared.hub.send(News::Connected {
+        let _ = shared.hub_events.send(HubEvent::ConnectionOpened {
             server,
             conn,
-            line: Line { out: out.clone(), socket: to_shut },
+            connection: BoxConnection { sender: out.clone(), socket: to_shut },
         });
         let (s, p) = (shared.clone(), progress.clone());
         spawn(move || write(&s, server, address, to_write, outs, &p));
@@ -74,7 +74,7 @@
         progress.closed.store(true, Ordering::SeqCst);
         let begun = progress.begun.load(Ordering::SeqCst);
         tracing::debug!(server = server.0, conn, begun, "control connection closed: {why}");
-        let _ = shared.hub.send(News::Closed { server, conn, begun });
+        let _ = shared.hub_events.send(HubEvent::ConnectionClosed { server, conn, last_cseq: begun });
     };
     spawn(run);
 }
@@ -92,7 +92,7 @@
     server: ServerId,
     address: SocketAddr,
     mut stream: TcpStream,
-    outs: mpsc::Receiver<Out>,
+    outs: mpsc::Receiver<OutgoingMessage>,
     progress: &Progress,
 ) {
     let host = address.to_string();
@@ -100,10 +100,10 @@
         let mut bytes = Vec::new();
         for out in std::iter::once(first).chain(outs.try_iter().take(63)) {
             let message = match out {
-                Out::Reply { cseq, status } => {
+                OutgoingMessage::Response { cseq, status } => {
                     Message::Response { cseq, status, session: None, parameters: Vec::new() }
                 }
-                Out::Ask { cseq, what } => {
+                OutgoingMessage::Request { cseq, request: what } => {
                     progress.begun.fetch_max(cseq, Ordering::SeqCst);
                     if progress.closed.load(Ordering::SeqCst) {
                         return;
@@ -129,11 +129,11 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-fn ask(shared: &Shared, server: ServerId, what: ServerRequest<Ticket>) -> Option<ControlRequest> {
+fn ask(shared: &Shared, server: ServerId, what: ServerRequest<SessionContext>) -> Option<ControlRequest> {
     Some(match what {
         ServerRequest::Setup { id, context: of, rung } => ControlRequest::Setup {
             title: of.title.clone(),
-            service_group: shared.groups[of.group].name.clone(),
+            service_group: shared.service_groups[of.group_index].name.clone(),
             rung,
             front_session: id.0,
             token: of.session_token(shared, server, shared.clock.now())?,
@@ -155,7 +155,7 @@
     server: ServerId,
     conn: u64,
     mut stream: TcpStream,
-    out: mpsc::Sender<Out>,
+    out: mpsc::Sender<OutgoingMessage>,
 ) -> String {
     let (mut reader, mut bytes) = (MessageReader::default(), vec![0; 8_192]);
     loop {
@@ -169,7 +169,8 @@
                 Ok(None) => break,
                 Ok(Some(message)) => {
                     if let Some(told) = told(message, &out) {
-                        let _ = shared.hub.send(News::Told { server, conn, told });
+                        let _ =
+                            shared.hub_events.send(HubEvent::MessageReceived { server, conn, message: told });
                     }
                 }
                 Err(bad) => {
@@ -182,7 +183,7 @@
     }
 }
 
-fn told(message: Message, out: &mpsc::Sender<Out>) -> Option<ServerMessage> {
+fn told(message: Message, out: &mpsc::Sender<OutgoingMessage>) -> Option<ServerMessage> {
     match message {
         Message::Response { cseq, status, session, parameters } => {
             let outcome = match status {
@@ -205,7 +206,7 @@
                 ControlRequest::Teardown { session } => (200, Some(ServerMessage::SessionEnded { session })),
                 _ => (501, None),
             };
-            let _ = out.send(Out::Reply { cseq, status });
+            let _ = out.send(OutgoingMessage::Response { cseq, status });
             told
         }
     }
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -1,8 +1,8 @@
 //! Keeps the catalogue: reads what was stored, follows its publisher, writes changes ahead of putting them in force.
 //! One thread, since its reads and its disk wait; requests only ever take the version in force. Where a publisher
 //! stands is [`follower::FeedFollower`]'s to say; what is kept, [`retention`]'s.
-use crate::body::{Body, Got};
 use crate::clock::Clock;
+use crate::http_client::{BodyRead, ResponseBody};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -29,26 +29,26 @@
 const GATHERING: Duration = Duration::from_millis(5);
 
 /// Counts of differences by sort and box.
-pub type Counts = Vec<(DifferenceKind, Option<ServerId>, u64)>;
+pub type DifferenceCounts = Vec<(DifferenceKind, Option<ServerId>, u64)>;
 
 /// What requests have of the catalogue.
-pub struct Known {
+pub struct CatalogueHandle {
     current: Arc<CurrentVersion>,
-    pub terms: CatalogueSettings,
+    pub settings: CatalogueSettings,
     /// Differences counted so far, where they changed since they were last written down.
-    differences: Mutex<Option<Counts>>,
+    differences: Mutex<Option<DifferenceCounts>>,
 }
 
-impl Known {
+impl CatalogueHandle {
     /// The version in force, for a whole request; `None` while there is no catalogue.
-    pub fn load(&self) -> Option<Arc<Version>> {
+    pub fn current_version(&self) -> Option<Arc<Version>> {
         let v = self.current.load();
         (!v.is_empty()).then_some(v)
     }
 
     /// Hands counts over to be written where `walnutline catalogue diff` finds them; `false` where they cannot be
     /// taken now. Never waits: who writes them stands back and may hold the lock for long.
-    pub fn differ(&self, counts: impl FnOnce() -> Counts) -> bool {
+    pub fn submit_differences(&self, counts: impl FnOnce() -> DifferenceCounts) -> bool {
         let Ok(mut waiting) = self.differences.try_lock() else { return false };
         *waiting = Some(counts());
         true
@@ -56,7 +56,7 @@
 }
 
 struct Keeper {
-    known: Arc<Known>,
+    known: Arc<CatalogueHandle>,
     clock: Clock,
     waits: Timeouts,
     writer: VersionWriter,
@@ -70,9 +70,18 @@
 
 /// Starts to read the store and then to follow. The front serves meanwhile, without a catalogue until it is read; a store
 /// that cannot be read is told of, and the front goes on without it.
-pub fn start(terms: CatalogueSettings, clock: Clock, waits: Timeouts, seed: u64) -> io::Result<Arc<Known>> {
+pub fn start(
+    terms: CatalogueSettings,
+    clock: Clock,
+    waits: Timeouts,
+    seed: u64,
+) -> io::Result<Arc<CatalogueHandle>> {
     let writer = VersionWriter::default();
-    let known = Arc::new(Known { current: writer.current(), terms, differences: Mutex::default() });
+    let known = Arc::new(CatalogueHandle {
+        current: writer.current(),
+        settings: terms,
+        differences: Mutex::default(),
+    });
     let mut keeper = Keeper {
         known: known.clone(),
         clock,
@@ -95,7 +104,7 @@
     /// Takes up what was stored.
     fn read(&mut self) {
         let mut began = Instant::now();
-        let opened = Store::open(&self.known.terms.folder, &mut |_, _| {
+        let opened = Store::open(&self.known.settings.folder, &mut |_, _| {
             rest(began);
             began = Instant::now();
         });
@@ -119,7 +128,7 @@
     }
 
     fn run(&mut self, seed: u64) {
-        let Some((at, path)) = self.known.terms.source.clone() else {
+        let Some((at, path)) = self.known.settings.source.clone() else {
             loop {
                 self.beat();
                 std::thread::sleep(BEAT);
@@ -151,7 +160,7 @@
         self.writer.reclaim();
         let counts = self.known.differences.lock().unwrap_or_else(|e| e.into_inner()).take();
         if let Some(counts) = counts {
-            let file = self.known.terms.folder.join("differences.json");
+            let file = self.known.settings.folder.join("differences.json");
             if let Err(e) = write_counts(&file, &counts) {
                 tracing::error!("catalogue: {}: {e}", file.display());
             }
@@ -170,7 +179,7 @@
         let v = self.writer.current().load();
         if self.store.is_some() && self.snapshot.is_none() && retention::snapshot_due(self.since, v.len()) {
             self.since = 0;
-            let folder = self.known.terms.folder.clone();
+            let folder = self.known.settings.folder.clone();
             let write = move || {
                 stand_back();
                 write_snapshot(&folder, &v, &mut |_, _| {})
@@ -183,20 +192,20 @@
     fn whole(&mut self, at: SocketAddr, path: &str) -> io::Result<()> {
         let beside = self.writer.current().load();
         let mut reader = snapshot::SnapshotReader::new((!beside.is_empty()).then_some(beside));
-        let folder = self.known.terms.folder.clone();
+        let folder = self.known.settings.folder.clone();
         let mut part = self
             .store
             .is_some()
             .then(|| SnapshotWriter::create(&folder, "fetched"))
             .transpose()
             .map_err(other)?;
-        let mut body = Body::open(at, path, "", self.waits)?;
+        let mut body = ResponseBody::open(at, path, "", self.waits)?;
         let mut told = 0;
         loop {
             let piece = match body.read()? {
-                Got::Bytes(n) => &body.bytes[..n],
-                Got::End => break,
-                Got::Nothing => {
+                BodyRead::Data(n) => &body.buffer[..n],
+                BodyRead::End => break,
+                BodyRead::Idle => {
                     self.beat();
                     continue;
                 }
@@ -232,13 +241,13 @@
     }
 
     fn changes(&mut self, at: SocketAddr, path: &str, after: u64, retry: &mut Backoff) -> io::Result<()> {
-        let mut body = Body::open(at, path, &format!("Last-Event-ID: {after}\r\n"), self.waits)?;
+        let mut body = ResponseBody::open(at, path, &format!("Last-Event-ID: {after}\r\n"), self.waits)?;
         let mut events = EventReader::default();
         loop {
-            body.wait_at_most(if self.follow.batch_due_at().is_some() { GATHERING } else { BEAT })?;
+            body.set_read_timeout(if self.follow.batch_due_at().is_some() { GATHERING } else { BEAT })?;
             match body.read() {
-                Ok(Got::Bytes(n)) => {
-                    for piece in body.bytes[..n].chunks(PIECE) {
+                Ok(BodyRead::Data(n)) => {
+                    for piece in body.buffer[..n].chunks(PIECE) {
                         let began = Instant::now();
                         for event in events.push(piece).map_err(other)? {
                             if event.name == "too-old" {
@@ -255,11 +264,11 @@
                     }
                 }
                 // What was heard whole before its end is in force too.
-                Ok(Got::End) => {
+                Ok(BodyRead::End) => {
                     self.apply()?;
                     return Err(other("its end"));
                 }
-                Ok(Got::Nothing) => {}
+                Ok(BodyRead::Idle) => {}
                 Err(e) => {
                     self.apply()?;
                     return Err(e);
@@ -344,7 +353,7 @@
     io::Error::other(e.to_string())
 }
 
-fn write_counts(file: &Path, counts: &Counts) -> io::Result<()> {
+fn write_counts(file: &Path, counts: &DifferenceCounts) -> io::Result<()> {
     let line = |(kind, server, n): &(DifferenceKind, Option<ServerId>, u64)| {
         serde_json::json!({ "sort": kind.name(), "box": server.map(|s| s.0), "count": n }).to_string()
     };
--- a/crates/front/src/watch.rs
+++ b/crates/front/src/connection_monitor.rs
@@ -11,61 +11,61 @@
 
 use crate::clock::Clock;
 
-const LOOK: Duration = Duration::from_millis(50);
+const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
-pub trait Watched: Send + Sync {
+pub trait Monitored: Send + Sync {
     /// Whether it has to be cut off now; says so once.
-    fn overdue(&self, now: f64) -> bool;
-    fn cut(&self);
+    fn take_expired(&self, now: f64) -> bool;
+    fn shut_down(&self);
 }
 
 #[derive(Default)]
-pub struct Watch {
-    all: Mutex<Vec<Weak<dyn Watched>>>,
-    pausing: Mutex<Vec<may::coroutine::Coroutine>>,
+pub struct ConnectionMonitor {
+    connections: Mutex<Vec<Weak<dyn Monitored>>>,
+    waiting: Mutex<Vec<may::coroutine::Coroutine>>,
 }
 
-impl Watch {
+impl ConnectionMonitor {
     pub fn start(clock: Clock) -> std::io::Result<Arc<Self>> {
-        let watch = Arc::new(Watch::default());
+        let watch = Arc::new(ConnectionMonitor::default());
         let w = watch.clone();
         std::thread::Builder::new().name("watch".into()).spawn(move || loop {
-            std::thread::sleep(LOOK);
-            w.look(clock.now());
+            std::thread::sleep(SCAN_INTERVAL);
+            w.scan(clock.now());
         })?;
         Ok(watch)
     }
 
-    pub fn add<W: Watched + 'static>(&self, one: &Arc<W>) {
-        let one: Weak<dyn Watched> = Arc::downgrade(&(one.clone() as Arc<dyn Watched>));
-        self.all.lock().unwrap_or_else(|e| e.into_inner()).push(one);
+    pub fn register<W: Monitored + 'static>(&self, one: &Arc<W>) {
+        let one: Weak<dyn Monitored> = Arc::downgrade(&(one.clone() as Arc<dyn Monitored>));
+        self.connections.lock().unwrap_or_else(|e| e.into_inner()).push(one);
     }
 
     /// Lets a coroutine wait for the next look.
-    pub fn pause(&self) {
-        self.pausing.lock().unwrap_or_else(|e| e.into_inner()).push(may::coroutine::current());
+    pub fn wait_for_next_scan(&self) {
+        self.waiting.lock().unwrap_or_else(|e| e.into_inner()).push(may::coroutine::current());
         may::coroutine::park();
     }
 
-    fn look(&self, now: f64) {
-        let pausing = std::mem::take(&mut *self.pausing.lock().unwrap_or_else(|e| e.into_inner()));
+    fn scan(&self, now: f64) {
+        let pausing = std::mem::take(&mut *self.waiting.lock().unwrap_or_else(|e| e.into_inner()));
         pausing.iter().for_each(|c| c.unpark());
         let mut cut = Vec::new();
-        self.all.lock().unwrap_or_else(|e| e.into_inner()).retain(|one| match one.upgrade() {
+        self.connections.lock().unwrap_or_else(|e| e.into_inner()).retain(|one| match one.upgrade() {
             Some(one) => {
-                if one.overdue(now) {
+                if one.take_expired(now) {
                     cut.push(one);
                 }
                 true
             }
             None => false,
         });
-        cut.into_iter().for_each(|one| one.cut());
+        cut.into_iter().for_each(|one| one.shut_down());
     }
 }
 
 /// What a viewer's connection is waiting for, and since when.
-pub struct Patience {
+pub struct ConnectionTimer {
     since: AtomicU64,
     /// A request has begun to come in and is not whole.
     partial: AtomicBool,
@@ -74,9 +74,9 @@
     over: AtomicBool,
 }
 
-impl Patience {
+impl ConnectionTimer {
     pub fn new(now: f64) -> Self {
-        Patience {
+        ConnectionTimer {
             since: AtomicU64::new(now.to_bits()),
             partial: AtomicBool::new(false),
             waiting: AtomicUsize::new(0),
@@ -85,29 +85,29 @@
     }
 
     /// A request begins to come in; or, where one was just read whole, whether the next one already has.
-    pub fn begun(&self, partial: bool, now: f64) {
+    pub fn set_receiving(&self, partial: bool, now: f64) {
         self.since.store(now.to_bits(), Ordering::SeqCst);
         self.partial.store(partial, Ordering::SeqCst);
     }
 
-    pub fn taken(&self) {
+    pub fn request_received(&self) {
         self.waiting.fetch_add(1, Ordering::SeqCst);
     }
 
-    pub fn answered(&self, now: f64) {
+    pub fn response_sent(&self, now: f64) {
         if !self.partial.load(Ordering::SeqCst) {
             self.since.store(now.to_bits(), Ordering::SeqCst);
         }
         self.waiting.fetch_sub(1, Ordering::SeqCst);
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn has_expired(&self) -> bool {
         self.over.load(Ordering::SeqCst)
     }
 
     /// A request that comes in has its time from its first byte on; between requests there is the idle time;
     /// while an answer is owed there is no limit here.
-    pub fn overdue(&self, now: f64, limits: &ViewerLimits) -> bool {
+    pub fn take_expired(&self, now: f64, limits: &ViewerLimits) -> bool {
         let allowed = match (self.partial.load(Ordering::SeqCst), self.waiting.load(Ordering::SeqCst)) {
             (true, _) => limits.request_timeout_ms,
             (false, 0) => limits.idle_timeout_ms,
@@ -133,19 +133,19 @@
             max_pipelined: 1,
             write_timeout_ms: 1.0,
         };
-        let p = Patience::new(0.0);
-        assert!(!p.overdue(59_999.0, &limits));
-        p.begun(true, 59_999.0);
-        assert!(!p.overdue(61_998.0, &limits));
+        let p = ConnectionTimer::new(0.0);
+        assert!(!p.take_expired(59_999.0, &limits));
+        p.set_receiving(true, 59_999.0);
+        assert!(!p.take_expired(61_998.0, &limits));
         // Read whole and taken: no limit while its answer is owed.
-        p.begun(false, 61_000.0);
-        p.taken();
-        assert!(!p.overdue(1e9, &limits));
-        p.answered(1e9);
-        assert!(!p.overdue(1e9 + 59_999.0, &limits));
-        p.begun(true, 1e9 + 59_999.0);
-        assert!(p.overdue(1e9 + 61_999.0, &limits));
-        assert!(!p.overdue(2e9, &limits), "said once");
-        assert!(p.is_over());
+        p.set_receiving(false, 61_000.0);
+        p.request_received();
+        assert!(!p.take_expired(1e9, &limits));
+        p.response_sent(1e9);
+        assert!(!p.take_expired(1e9 + 59_999.0, &limits));
+        p.set_receiving(true, 1e9 + 59_999.0);
+        assert!(p.take_expired(1e9 + 61_999.0, &limits));
+        assert!(!p.take_expired(2e9, &limits), "said once");
+        assert!(p.has_expired());
     }
 }
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -12,22 +12,26 @@
     pub proof: Option<String>,
     pub keep_alive: bool,
     /// When it was read whole.
-    pub at: f64,
+    pub received_at: f64,
 }
 
 /// A request that is not taken: its status, and why. The connection closes after the answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Bad {
+pub struct RequestError {
     pub status: u16,
-    pub why: String,
+    pub reason: String,
 }
 
-fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, Bad> {
-    Err(Bad { status, why: why.into() })
+fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, RequestError> {
+    Err(RequestError { status, reason: why.into() })
 }
 
 /// Reads the first request in a buffer; with how many bytes it took. `None` while it is not whole.
-pub fn read(buffer: &[u8], limits: &ViewerLimits, at: f64) -> Result<Option<(Request, usize)>, Bad> {
+pub fn parse_request(
+    buffer: &[u8],
+    limits: &ViewerLimits,
+    at: f64,
+) -> Result<Option<(Request, usize)>, RequestError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut raw = httparse::Request::new(&mut headers);
     let used = match raw.parse(buffer) {
@@ -48,7 +52,7 @@
         token: None,
         proof: None,
         keep_alive: one_one,
-        at,
+        received_at: at,
     };
     let mut host = 0;
     for header in raw.headers.iter() {
@@ -85,7 +89,7 @@
 }
 
 /// A value of the query, percent-decoded.
-pub fn query(query: &str, name: &str) -> Option<String> {
+pub fn query_parameter(query: &str, name: &str) -> Option<String> {
     let value = query.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name)?.1;
     percent_encoding::percent_decode_str(value).decode_utf8().ok().map(|v| v.into_owned())
 }
@@ -100,12 +104,12 @@
 
 impl Response {
     /// One that says in a line why there is no manifest.
-    pub fn plain(status: u16, why: &str) -> Self {
+    pub fn plain_text(status: u16, why: &str) -> Self {
         Response { status, headers: Vec::new(), body: format!("{why}\n"), content_type: "text/plain" }
     }
 }
 
-pub fn write(r: &Response, head_only: bool, keep_alive: bool) -> Vec<u8> {
+pub fn encode_response(r: &Response, head_only: bool, keep_alive: bool) -> Vec<u8> {
     let phrase = match r.status {
         200 => "OK",
         400 => "Bad Request",
@@ -151,7 +155,7 @@
     };
 
     fn status(text: &str) -> Option<u16> {
-        read(text.as_bytes(), &LIMITS, 0.0).err().map(|b| b.status)
+        parse_request(text.as_bytes(), &LIMITS, 0.0).err().map(|b| b.status)
     }
 
     #[test_case("GET /m/a.mpd HTTP/1.1\r\nHost: a\r\n\r\n" => None; "good")]
@@ -173,18 +177,18 @@
     #[test]
     fn requests_one_after_another() {
         let two = "GET /m/a.mpd?wait=5&top=%31 HTTP/1.1\r\nHost: a\r\nDPoP: p\r\n\r\nGET /b HTTP/1.0\r\n\r\n";
-        let (one, used) = read(two.as_bytes(), &LIMITS, 7.0).unwrap().unwrap();
+        let (one, used) = parse_request(two.as_bytes(), &LIMITS, 7.0).unwrap().unwrap();
         assert_eq!((one.path.as_str(), one.keep_alive, one.proof.as_deref()), ("/m/a.mpd", true, Some("p")));
-        assert_eq!(query(&one.query, "top").as_deref(), Some("1"));
-        assert_eq!(query(&one.query, "no"), None);
-        let (next, rest) = read(&two.as_bytes()[used..], &LIMITS, 7.0).unwrap().unwrap();
+        assert_eq!(query_parameter(&one.query, "top").as_deref(), Some("1"));
+        assert_eq!(query_parameter(&one.query, "no"), None);
+        let (next, rest) = parse_request(&two.as_bytes()[used..], &LIMITS, 7.0).unwrap().unwrap();
         assert_eq!((next.path.as_str(), next.keep_alive, used + rest), ("/b", false, two.len()));
     }
 
     proptest! {
         #[test]
         fn rubbish_is_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..700)) {
-            let _ = read(&bytes, &LIMITS, 0.0);
+            let _ = parse_request(&bytes, &LIMITS, 0.0);
         }
 
         /// A request is not whole until its last byte, and is the same however it comes.
@@ -192,7 +196,7 @@
         fn cut_anywhere(cut in 0usize..60) {
             let whole = "GET /m/a.mpd?wait=5 HTTP/1.1\r\nHost: a\r\nDPoP: some-proof\r\n\r\n";
             let cut = cut.min(whole.len() - 1);
-            prop_assert_eq!(read(&whole.as_bytes()[..cut], &LIMITS, 0.0), Ok(None));
+            prop_assert_eq!(parse_request(&whole.as_bytes()[..cut], &LIMITS, 0.0), Ok(None));
         }
     }
 }
--- a/crates/front/src/body.rs
+++ b/crates/front/src/http_client.rs
@@ -13,9 +13,9 @@
 const BEAT: Duration = Duration::from_millis(200);
 
 /// An answer whose header was good.
-pub struct Body {
+pub struct ResponseBody {
     stream: TcpStream,
-    pub bytes: Vec<u8>,
+    pub buffer: Vec<u8>,
     /// What came with the header.
     first: Vec<u8>,
     /// How long one read waits, when anything was last heard, and for how long that may be ago.
@@ -24,9 +24,9 @@
     silence: Duration,
 }
 
-impl Body {
+impl ResponseBody {
     /// Asks; `header`: further lines of it. Returns once the header of a good answer is read.
-    pub fn open(at: SocketAddr, path: &str, header: &str, waits: Timeouts) -> io::Result<Body> {
+    pub fn open(at: SocketAddr, path: &str, header: &str, waits: Timeouts) -> io::Result<ResponseBody> {
         let within = |ms: f64| Duration::from_secs_f64(ms / 1_000.0);
         let mut stream = TcpStream::connect_timeout(&at, within(waits.connect))?;
         stream.set_read_timeout(Some(within(waits.max_silence)))?;
@@ -47,20 +47,20 @@
             let first = String::from_utf8_lossy(&head[..head.len().min(60)]).into_owned();
             return Err(io::Error::other(format!("answered {:?}", first.lines().next().unwrap_or(""))));
         }
-        let mut body = Body {
+        let mut body = ResponseBody {
             stream,
-            bytes,
+            buffer: bytes,
             first: head.split_off(end),
             wait: Duration::ZERO,
             heard: Instant::now(),
             silence: within(waits.max_silence),
         };
-        body.wait_at_most(BEAT)?;
+        body.set_read_timeout(BEAT)?;
         Ok(body)
     }
 
     /// How long one read waits.
-    pub fn wait_at_most(&mut self, wait: Duration) -> io::Result<()> {
+    pub fn set_read_timeout(&mut self, wait: Duration) -> io::Result<()> {
         if self.wait != wait {
             self.stream.set_read_timeout(Some(wait))?;
             self.wait = wait;
@@ -69,24 +69,24 @@
     }
 
     /// Reads what comes next into `bytes`; an error also where nothing was heard for too long.
-    pub fn read(&mut self) -> io::Result<Got> {
+    pub fn read(&mut self) -> io::Result<BodyRead> {
         if !self.first.is_empty() {
             let n = self.first.len();
-            self.bytes[..n].copy_from_slice(&self.first);
+            self.buffer[..n].copy_from_slice(&self.first);
             self.first.clear();
-            return Ok(Got::Bytes(n));
+            return Ok(BodyRead::Data(n));
         }
-        match self.stream.read(&mut self.bytes) {
-            Ok(0) => Ok(Got::End),
+        match self.stream.read(&mut self.buffer) {
+            Ok(0) => Ok(BodyRead::End),
             Ok(n) => {
                 self.heard = Instant::now();
-                Ok(Got::Bytes(n))
+                Ok(BodyRead::Data(n))
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 if self.heard.elapsed() > self.silence {
                     return Err(e);
                 }
-                Ok(Got::Nothing)
+                Ok(BodyRead::Idle)
             }
             Err(e) => Err(e),
         }
@@ -94,10 +94,10 @@
 }
 
 /// What a read brought.
-pub enum Got {
+pub enum BodyRead {
     /// So many, at the beginning of [`Body::bytes`].
-    Bytes(usize),
+    Data(usize),
     /// Nothing came within the time of one read.
-    Nothing,
+    Idle,
     End,
 }
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -1,8 +1,8 @@
 //! The one thread that owns the live desk. Coroutines send it events by a channel; it hands out what the desk
 //! answers: messages to boxes' writers, answers to viewers' connections.
-use crate::boxes::{self, Line, Out};
+use crate::boxes::{self, BoxConnection, OutgoingMessage};
 use crate::clock::Clock;
-use crate::viewer::Msg;
+use crate::viewer::ConnectionMessage;
 use crate::Shared;
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use std::collections::HashMap;
@@ -23,31 +23,39 @@
 const ROUND: usize = 256;
 
 /// What the front keeps with a session.
-pub struct Ticket {
+pub struct SessionContext {
     pub id: SessionId,
     pub title: String,
     /// Position of its service group.
-    pub group: usize,
+    pub group_index: usize,
     /// When its request was read.
-    pub at: f64,
+    pub received_at: f64,
     /// Its title's true rates by rung, where they are reckoned with.
-    pub rates: Option<Arc<[f64]>>,
+    pub title_rates: Option<Arc<[f64]>>,
     /// Where its answer goes.
-    pub to: may::sync::mpsc::Sender<Msg>,
+    pub reply_to: may::sync::mpsc::Sender<ConnectionMessage>,
     /// The session's token for the box that it was last minted for.
     minted: Mutex<Option<(ServerId, String)>>,
 }
 
-impl Ticket {
+impl SessionContext {
     pub fn new(
         id: SessionId,
         title: String,
         group: usize,
         at: f64,
         rates: Option<Arc<[f64]>>,
-        to: may::sync::mpsc::Sender<Msg>,
+        reply_to: may::sync::mpsc::Sender<ConnectionMessage>,
     ) -> Self {
-        Ticket { id, title, group, at, rates, to, minted: Mutex::new(None) }
+        SessionContext {
+            id,
+            title,
+            group_index: group,
+            received_at: at,
+            title_rates: rates,
+            reply_to,
+            minted: Mutex::new(None),
+        }
     }
 
     /// The session's token at a box: minted once for the SETUP and its answer alike.
@@ -64,70 +72,70 @@
             path_prefix: format!("/s/{}/", self.id.0),
             expires_at: now + shared.manifest.session_token_lifetime_ms,
         };
-        let token = shared.door.mint(&claims, now)?;
+        let token = shared.authorizer.mint_session_token(&claims, now)?;
         *minted = Some((server, token.clone()));
         Some(token)
     }
 }
 
-pub enum News {
-    Asked {
-        ask: SessionRequest,
-        ticket: Ticket,
+pub enum HubEvent {
+    SessionRequested {
+        request: SessionRequest,
+        context: SessionContext,
         /// The catalogue's version that the request is answered by.
-        known: Option<Arc<Version>>,
+        catalogue: Option<Arc<Version>>,
     },
-    Left(SessionId),
+    ViewerLeft(SessionId),
     /// A renewed manifest is asked for.
-    Renew {
+    ManifestRequested {
         id: SessionId,
-        to: may::sync::mpsc::Sender<Msg>,
+        reply_to: may::sync::mpsc::Sender<ConnectionMessage>,
     },
-    Connected {
+    ConnectionOpened {
         server: ServerId,
         conn: u64,
-        line: Line,
+        connection: BoxConnection,
     },
-    NotConnected {
+    ConnectionFailed {
         server: ServerId,
         conn: u64,
     },
-    Closed {
+    ConnectionClosed {
         server: ServerId,
         conn: u64,
-        begun: u32,
+        last_cseq: u32,
     },
-    Told {
+    MessageReceived {
         server: ServerId,
         conn: u64,
-        told: ServerMessage,
+        message: ServerMessage,
     },
-    List {
-        whole: bool,
-        lines: Vec<(ServerEndpoint, String)>,
+    BoxList {
+        full: bool,
+        entries: Vec<(ServerEndpoint, String)>,
     },
 }
 
 /// A session that plays, as its manifest is made of it.
-pub struct Plays {
-    pub ticket: Arc<Ticket>,
+pub struct PlayingSession {
+    pub context: Arc<SessionContext>,
     pub server: ServerId,
     pub rung: u8,
-    pub media: Arc<str>,
+    pub media_url: Arc<str>,
 }
 
-pub enum Reply {
-    Plays(Plays),
-    Busy { come_back: Option<f64> },
+pub enum SessionReply {
+    Playing(PlayingSession),
+    Busy { retry_after: Option<f64> },
     TornDown,
-    Over,
+    Ended,
 }
 
 struct Hub {
     shared: Arc<Shared>,
-    live: SessionManager<Ticket>,
+    live: SessionManager<SessionContext>,
     media: HashMap<ServerId, Arc<str>>,
-    lines: HashMap<ServerId, (u64, Line)>,
+    lines: HashMap<ServerId, (u64, BoxConnection)>,
     advisor: Option<RequestAdvisor>,
     /// When differences were last handed over to be written, and whether there are others since.
     differed: (f64, bool),
@@ -138,13 +146,13 @@
 
 pub fn start(
     shared: Arc<Shared>,
-    news: Receiver<News>,
+    news: Receiver<HubEvent>,
     terms: PolicySettings,
     waits: Timeouts,
     seed: u64,
 ) -> io::Result<()> {
     let live = SessionManager::new(terms, waits, seed, shared.clock.now());
-    let advisor = shared.catalogue.as_ref().map(|k| RequestAdvisor::new(k.terms.probe_budget));
+    let advisor = shared.catalogue.as_ref().map(|k| RequestAdvisor::new(k.settings.probe_budget));
     let mut hub =
         Hub { shared, live, media: HashMap::new(), lines: HashMap::new(), advisor, differed: (0.0, false) };
     std::thread::Builder::new().name("hub".into()).spawn(move || {
@@ -167,7 +175,7 @@
 }
 
 impl Hub {
-    fn run(&mut self, news: Receiver<News>) {
+    fn run(&mut self, news: Receiver<HubEvent>) {
         let clock: Clock = self.shared.clock;
         loop {
             let now = clock.now();
@@ -190,39 +198,49 @@
         }
     }
 
-    fn event(&mut self, news: News, now: f64) {
+    fn event(&mut self, news: HubEvent, now: f64) {
         match news {
-            News::Asked { mut ask, ticket, known } => {
+            HubEvent::SessionRequested { request: mut ask, context: ticket, catalogue: known } => {
                 if let Some(v) = known {
                     self.advise(&v, &ask, &ticket, now);
                 }
                 // What passed since it was read, in queues or in a stall, counts against its viewer's time.
-                ask.time_left -= now - ticket.at;
+                ask.time_left -= now - ticket.received_at;
                 self.live.add_request(ticket.id, ask, ticket, now);
             }
-            News::Left(id) => self.live.viewer_left(id, now),
-            News::Renew { id, to } => {
+            HubEvent::ViewerLeft(id) => self.live.viewer_left(id, now),
+            HubEvent::ManifestRequested { id, reply_to: to } => {
                 let plays = self.live.playing_session(id).and_then(|(server, rung, ticket)| {
-                    Some(Plays { ticket, server, rung, media: self.media.get(&server)?.clone() })
+                    Some(PlayingSession {
+                        context: ticket,
+                        server,
+                        rung,
+                        media_url: self.media.get(&server)?.clone(),
+                    })
                 });
-                let _ = to.send(Msg::Answer(id, plays.map_or(Reply::Over, Reply::Plays)));
+                let _ = to.send(ConnectionMessage::Reply(
+                    id,
+                    plays.map_or(SessionReply::Ended, SessionReply::Playing),
+                ));
             }
-            News::Connected { server, conn, line } => {
+            HubEvent::ConnectionOpened { server, conn, connection: line } => {
                 if self.live.connection_opened(server, conn, now) {
                     self.lines.insert(server, (conn, line));
                 } else {
-                    line.shut();
+                    line.shut_down();
                 }
             }
-            News::NotConnected { server, conn } => self.live.connection_failed(server, conn, now),
-            News::Closed { server, conn, begun } => {
+            HubEvent::ConnectionFailed { server, conn } => self.live.connection_failed(server, conn, now),
+            HubEvent::ConnectionClosed { server, conn, last_cseq: begun } => {
                 self.live.connection_closed(server, conn, begun, now);
                 if self.lines.get(&server).is_some_and(|(c, _)| *c == conn) {
                     self.lines.remove(&server);
                 }
             }
-            News::Told { server, conn, told } => self.live.message_received(server, conn, told, now),
-            News::List { whole, lines } => {
+            HubEvent::MessageReceived { server, conn, message: told } => {
+                self.live.message_received(server, conn, told, now)
+            }
+            HubEvent::BoxList { full: whole, entries: lines } => {
                 let lines = lines.into_iter().map(|(line, media)| {
                     self.media.insert(line.entry.id, media.into());
                     line
@@ -238,10 +256,10 @@
     }
 
     /// What the catalogue has to say of a request, and it of the catalogue.
-    fn advise(&mut self, v: &Version, ask: &SessionRequest, ticket: &Ticket, now: f64) {
+    fn advise(&mut self, v: &Version, ask: &SessionRequest, ticket: &SessionContext, now: f64) {
         let Some(advisor) = &mut self.advisor else { return };
-        let group = &self.shared.groups[ticket.group].name;
-        let rungs = self.shared.ladder.len();
+        let group = &self.shared.service_groups[ticket.group_index].name;
+        let rungs = self.shared.ladder_kb_per_s.len();
         let told = ComparedRequest { title: &ticket.title, group, holders: &ask.holders, rungs };
         for d in advisor.record_request(v, &told, now) {
             let (difference, server) = (d.kind.name(), d.server.map(|s| s.0));
@@ -253,32 +271,32 @@
     fn ask_news(&mut self, now: f64) {
         let (Some(advisor), Some(known)) = (&mut self.advisor, &self.shared.catalogue) else { return };
         if self.differed.1 && now - self.differed.0 > DIFFER {
-            let taken = known.differ(|| advisor.differences().counts().collect());
+            let taken = known.submit_differences(|| advisor.differences().counts().collect());
             self.differed = (now, !taken);
         }
         if advisor.may_probe(now) {
-            if let Some(v) = known.load() {
+            if let Some(v) = known.current_version() {
                 let servers = advisor.probe_targets(&v, |s| self.live.link_measured_at(s), now);
                 self.live.probe_servers(servers, now);
             }
         }
     }
 
-    fn perform(&mut self, what: IoAction<Ticket>) {
+    fn perform(&mut self, what: IoAction<SessionContext>) {
         match what {
             IoAction::Connect { server, conn, address } => {
                 boxes::connect(self.shared.clone(), server, conn, address)
             }
             IoAction::Close { server, conn } => {
                 if let Some((_, line)) = self.lines.get(&server).filter(|(c, _)| *c == conn) {
-                    line.shut();
+                    line.shut_down();
                     self.lines.remove(&server);
                 }
             }
             IoAction::Send { server, conn, cseq, request: what } => {
                 if let Some((c, line)) = self.lines.get(&server) {
                     if *c == conn {
-                        let _ = line.out.send(Out::Ask { cseq, what });
+                        let _ = line.sender.send(OutgoingMessage::Request { cseq, request: what });
                     }
                 }
             }
@@ -286,12 +304,17 @@
                 let reply = match answer {
                     Answer::Playing { server, rung } => {
                         let media = self.media.get(&server).cloned().unwrap_or_else(|| "".into());
-                        Reply::Plays(Plays { ticket: of.clone(), server, rung, media })
+                        SessionReply::Playing(PlayingSession {
+                            context: of.clone(),
+                            server,
+                            rung,
+                            media_url: media,
+                        })
                     }
-                    Answer::Busy { retry_after } => Reply::Busy { come_back: retry_after },
-                    Answer::TornDown => Reply::TornDown,
+                    Answer::Busy { retry_after } => SessionReply::Busy { retry_after },
+                    Answer::TornDown => SessionReply::TornDown,
                 };
-                let _ = of.to.send(Msg::Answer(id, reply));
+                let _ = of.reply_to.send(ConnectionMessage::Reply(id, reply));
             }
             IoAction::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
         }
--- a/crates/front/src/list.rs
+++ b/crates/front/src/list.rs
@@ -1,7 +1,7 @@
 //! Follows the list of boxes: one thread that opens the event stream, resumes it and hands lists on. A thread, since
 //! its reads need time-outs of their own.
-use crate::body::{Body, Got};
-use crate::hub::News;
+use crate::http_client::{BodyRead, ResponseBody};
+use crate::hub::HubEvent;
 use crate::Shared;
 use std::io;
 use std::net::SocketAddr;
@@ -48,15 +48,15 @@
     retry: &mut Backoff,
 ) -> io::Result<()> {
     let resume = follow.resume_after().map_or(String::new(), |n| format!("Last-Event-ID: {n}\r\n"));
-    let mut body = Body::open(at, path, &format!("Accept: text/event-stream\r\n{resume}"), waits)?;
+    let mut body = ResponseBody::open(at, path, &format!("Accept: text/event-stream\r\n{resume}"), waits)?;
     let mut events = EventReader::default();
     loop {
         let n = match body.read()? {
-            Got::Bytes(n) => n,
-            Got::Nothing => continue,
-            Got::End => return Ok(()),
+            BodyRead::Data(n) => n,
+            BodyRead::Idle => continue,
+            BodyRead::End => return Ok(()),
         };
-        let heard = events.push(&body.bytes[..n]).map_err(|e| {
+        let heard = events.push(&body.buffer[..n]).map_err(|e| {
             follow.discard_position();
             io::Error::other(e.to_string())
         })?;
@@ -88,7 +88,9 @@
     match follow.accept(number, sort) {
         Verdict::Apply => {
             let lines = list.boxes.into_iter().map(line).collect();
-            let _ = shared.hub.send(News::List { whole: sort == EventKind::Snapshot, lines });
+            let _ = shared
+                .hub_events
+                .send(HubEvent::BoxList { full: sort == EventKind::Snapshot, entries: lines });
             Ok(())
         }
         Verdict::Duplicate => Ok(()),
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/response.rs
@@ -1,24 +1,26 @@
 //! What a viewer is answered: manifests for sessions that play, and the other final answers.
 use crate::http::Response;
-use crate::hub::{Plays, Reply};
+use crate::hub::{PlayingSession, SessionReply};
 use crate::Shared;
 use walnutline_dash::mpd;
 use walnutline_gate::authorization::Refusal;
 
-pub fn write(shared: &Shared, reply: &Reply) -> Response {
+pub fn from_reply(shared: &Shared, reply: &SessionReply) -> Response {
     match reply {
-        Reply::Plays(plays) => manifest(shared, plays).unwrap_or_else(|why| Response::plain(500, &why)),
-        Reply::Busy { come_back } => busy("busy", come_back.unwrap_or(0.0)),
-        Reply::TornDown => Response::plain(504, "torn down"),
-        Reply::Over => Response::plain(410, "the session is over"),
+        SessionReply::Playing(plays) => {
+            manifest(shared, plays).unwrap_or_else(|why| Response::plain_text(500, &why))
+        }
+        SessionReply::Busy { retry_after } => busy("busy", retry_after.unwrap_or(0.0)),
+        SessionReply::TornDown => Response::plain_text(504, "torn down"),
+        SessionReply::Ended => Response::plain_text(410, "the session is over"),
     }
 }
 
 /// A busy reply. `Retry-After` counts whole seconds (RFC 9110); the finer time stands beside it.
-pub fn busy(why: &str, come_back: f64) -> Response {
-    let mut r = Response::plain(503, why);
-    r.headers.push(("Retry-After", format!("{}", (come_back / 1_000.0).ceil())));
-    r.headers.push(("Retry-After-Ms", format!("{come_back:.0}")));
+pub fn busy(why: &str, retry_after: f64) -> Response {
+    let mut r = Response::plain_text(503, why);
+    r.headers.push(("Retry-After", format!("{}", (retry_after / 1_000.0).ceil())));
+    r.headers.push(("Retry-After-Ms", format!("{retry_after:.0}")));
     r
 }
 
@@ -27,7 +29,7 @@
     if status == 503 {
         return busy(refusal.reason(), 1_000.0);
     }
-    let mut r = Response::plain(status, refusal.reason());
+    let mut r = Response::plain_text(status, refusal.reason());
     if status == 401 {
         let error = if refusal.reason().contains("proof") { "invalid_dpop_proof" } else { "invalid_token" };
         r.headers.push(("WWW-Authenticate", format!("DPoP error=\"{error}\", algs=\"EdDSA\"")));
@@ -35,19 +37,19 @@
     r
 }
 
-fn manifest(shared: &Shared, plays: &Plays) -> Result<Response, String> {
+fn manifest(shared: &Shared, plays: &PlayingSession) -> Result<Response, String> {
     let now = shared.clock.now();
-    let ticket = &plays.ticket;
+    let ticket = &plays.context;
     let token = ticket.session_token(shared, plays.server, now).ok_or("no session key is in force")?;
-    let group = &shared.groups[ticket.group];
-    let in_force = group.floor..=plays.rung.max(group.floor);
-    let ladder = ticket.rates.as_deref().unwrap_or(&shared.ladder);
-    let rate = |rung: u8| Some((rung, ladder.get(rung as usize)? * group.scale));
+    let group = &shared.service_groups[ticket.group_index];
+    let in_force = group.lowest_rung..=plays.rung.max(group.lowest_rung);
+    let ladder = ticket.title_rates.as_deref().unwrap_or(&shared.ladder_kb_per_s);
+    let rate = |rung: u8| Some((rung, ladder.get(rung as usize)? * group.rate_scale));
     let told = mpd::ManifestParams {
         title: &ticket.title,
-        base_url: format!("{}/s/{}/{token}/", plays.media, ticket.id.0),
+        base_url: format!("{}/s/{}/{token}/", plays.media_url, ticket.id.0),
         location: format!("{}/s/{}.mpd?CAT={token}", shared.public_url, ticket.id.0),
-        started_at_ms: ticket.at,
+        started_at_ms: ticket.received_at,
         published_at_ms: now,
         update_period_ms: shared.manifest.update_period_ms,
         segment_duration_ms: shared.manifest.segment_duration_ms,
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -1,10 +1,10 @@
 //! Viewers' connections: one coroutine reads requests, one answers them in their order. A request that is taken
 //! gets exactly one answer.
 use crate::boxes::spawn;
-use crate::http::{self, Bad, Request, Response};
-use crate::hub::{News, Reply, Ticket};
-use crate::watch::{Patience, Watched};
-use crate::{answer, Shared};
+use crate::connection_monitor::{ConnectionTimer, Monitored};
+use crate::http::{self, Request, RequestError, Response};
+use crate::hub::{HubEvent, SessionContext, SessionReply};
+use crate::{response, Shared};
 use may::net::{TcpListener, TcpStream};
 use may::sync::{mpsc, Semphore};
 use std::collections::VecDeque;
@@ -20,12 +20,12 @@
 use walnutline_gate::claims::ViewerClaims;
 
 /// What the answering coroutine of a connection is told.
-pub enum Msg {
+pub enum ConnectionMessage {
     Request(Request),
-    Bad(Bad),
-    Answer(SessionId, Reply),
+    Invalid(RequestError),
+    Reply(SessionId, SessionReply),
     /// The viewer sends no more, or the connection broke: nobody waits for an answer any more.
-    Gone,
+    Disconnected,
 }
 
 /// Names sessions: above a start drawn anew by each process, so that boxes hear no name twice.
@@ -46,7 +46,7 @@
             Err(e) => {
                 // Out of descriptors or memory: trying again at once would only spin.
                 tracing::warn!("accept: {e}");
-                shared.watch.pause();
+                shared.monitor.wait_for_next_scan();
             }
         }
     });
@@ -54,9 +54,9 @@
 }
 
 fn accepted(shared: &Arc<Shared>, names: &Arc<Names>, stream: TcpStream) {
-    let open = shared.connections.fetch_add(1, Ordering::SeqCst) + 1;
+    let open = shared.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
     let _ = stream.set_nodelay(true);
-    let full = open > shared.viewers.max_connections;
+    let full = open > shared.viewer_limits.max_connections;
     match stream.inner().try_clone() {
         Ok(socket) if !full => {
             let (inbox, msgs) = mpsc::channel();
@@ -65,22 +65,23 @@
                 names: names.clone(),
                 socket,
                 inbox,
-                ahead: Semphore::new(shared.viewers.max_pipelined),
-                patience: Patience::new(shared.clock.now()),
+                ahead: Semphore::new(shared.viewer_limits.max_pipelined),
+                timer: ConnectionTimer::new(shared.clock.now()),
             });
-            shared.watch.add(&connection);
+            shared.monitor.register(&connection);
             let c = connection.clone();
             spawn(move || {
                 c.answers(msgs);
-                c.shared.connections.fetch_sub(1, Ordering::SeqCst);
+                c.shared.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
             spawn(move || connection.reads(stream));
         }
         _ => {
             // Best effort, without waiting: whoever floods the front is not to hold it up.
-            let answer = http::write(&answer::busy("too many connections", 1_000.0), false, false);
+            let answer =
+                http::encode_response(&response::busy("too many connections", 1_000.0), false, false);
             let _ = stream.inner().write(&answer);
-            shared.connections.fetch_sub(1, Ordering::SeqCst);
+            shared.open_connections.fetch_sub(1, Ordering::SeqCst);
         }
     }
 }
@@ -90,18 +91,18 @@
     names: Arc<Names>,
     /// The socket once more, for answers and for closing it: it never blocks.
     socket: std::net::TcpStream,
-    inbox: mpsc::Sender<Msg>,
+    inbox: mpsc::Sender<ConnectionMessage>,
     /// Leave to read one more request.
     ahead: Semphore,
-    patience: Patience,
+    timer: ConnectionTimer,
 }
 
-impl Watched for Connection {
-    fn overdue(&self, now: f64) -> bool {
-        self.patience.overdue(now, &self.shared.viewers)
+impl Monitored for Connection {
+    fn take_expired(&self, now: f64) -> bool {
+        self.timer.take_expired(now, &self.shared.viewer_limits)
     }
 
-    fn cut(&self) {
+    fn shut_down(&self) {
         let _ = self.socket.shutdown(Shutdown::Read);
     }
 }
@@ -115,10 +116,10 @@
             let last = !matches!(&request, Ok(Some(r)) if r.keep_alive);
             let msg = match request {
                 Ok(None) => break,
-                Ok(Some(r)) => Msg::Request(r),
-                Err(bad) => Msg::Bad(bad),
+                Ok(Some(r)) => ConnectionMessage::Request(r),
+                Err(bad) => ConnectionMessage::Invalid(bad),
             };
-            self.patience.taken();
+            self.timer.request_received();
             let _ = self.inbox.send(msg);
             if last {
                 break;
@@ -126,7 +127,7 @@
         }
         // Until the answers are out, only the viewer's leaving is looked for.
         while matches!(stream.read(&mut bytes), Ok(n) if n > 0) {}
-        let _ = self.inbox.send(Msg::Gone);
+        let _ = self.inbox.send(ConnectionMessage::Disconnected);
     }
 
     /// The next request; `None` at the end of the connection.
@@ -135,27 +136,28 @@
         stream: &mut TcpStream,
         buffer: &mut Vec<u8>,
         bytes: &mut [u8],
-    ) -> Result<Option<Request>, Bad> {
+    ) -> Result<Option<Request>, RequestError> {
         loop {
             if !buffer.is_empty() {
                 let now = self.shared.clock.now();
-                if let Some((request, used)) = http::read(buffer, &self.shared.viewers, now)? {
+                if let Some((request, used)) = http::parse_request(buffer, &self.shared.viewer_limits, now)? {
                     buffer.drain(..used);
-                    self.patience.begun(!buffer.is_empty(), now);
+                    self.timer.set_receiving(!buffer.is_empty(), now);
                     return Ok(Some(request));
                 }
             }
             let n = stream.read(bytes).unwrap_or(0);
-            if self.patience.is_over() {
+            if self.timer.has_expired() {
                 // Cut off by the watch: in the middle of a request it is told so.
-                let why = || Bad { status: 408, why: "the request did not come whole in time".into() };
+                let why =
+                    || RequestError { status: 408, reason: "the request did not come whole in time".into() };
                 return if buffer.is_empty() { Ok(None) } else { Err(why()) };
             }
             if n == 0 {
                 return Ok(None);
             }
             if buffer.is_empty() {
-                self.patience.begun(true, self.shared.clock.now());
+                self.timer.set_receiving(true, self.shared.clock.now());
             }
             buffer.extend_from_slice(&bytes[..n]);
         }
@@ -163,13 +165,13 @@
 
     /// Writes all of an answer within the time that the settings give for it.
     fn put(&self, bytes: &[u8]) -> bool {
-        let until = self.shared.clock.now() + self.shared.viewers.write_timeout_ms;
+        let until = self.shared.clock.now() + self.shared.viewer_limits.write_timeout_ms;
         let mut rest = bytes;
         while !rest.is_empty() {
             match (&self.socket).write(rest) {
                 Ok(n) if n > 0 => rest = &rest[n..],
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.shared.clock.now() < until => {
-                    self.shared.watch.pause();
+                    self.shared.monitor.wait_for_next_scan();
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 _ => return false,
@@ -178,37 +180,37 @@
         true
     }
 
-    fn answers(&self, msgs: mpsc::Receiver<Msg>) {
-        let mut queue: VecDeque<Result<Request, Bad>> = VecDeque::new();
+    fn answers(&self, msgs: mpsc::Receiver<ConnectionMessage>) {
+        let mut queue: VecDeque<Result<Request, RequestError>> = VecDeque::new();
         let mut out: Option<Waits> = None;
         while let Ok(msg) = msgs.recv() {
             let open = match msg {
-                Msg::Request(r) => {
+                ConnectionMessage::Request(r) => {
                     queue.push_back(Ok(r));
                     true
                 }
-                Msg::Bad(b) => {
+                ConnectionMessage::Invalid(b) => {
                     queue.push_back(Err(b));
                     true
                 }
-                Msg::Answer(id, reply) => match out.take_if(|w| w.id == id) {
+                ConnectionMessage::Reply(id, reply) => match out.take_if(|w| w.id == id) {
                     Some(waits) => {
-                        let response = answer::write(&self.shared, &reply);
+                        let response = response::from_reply(&self.shared, &reply);
                         let sent = self.send(&response, &waits.request);
                         if sent == Sent::Failed {
                             self.left(&waits);
                         }
-                        self.shared.in_hand.fetch_sub(1, Ordering::SeqCst);
+                        self.shared.open_requests.fetch_sub(1, Ordering::SeqCst);
                         sent == Sent::Open
                     }
                     None => true,
                 },
-                Msg::Gone => {
+                ConnectionMessage::Disconnected => {
                     // A viewer that only closed its sending half still gets an answer, though not a session.
                     if let Some(waits) = out.take() {
                         self.left(&waits);
-                        self.send(&answer::busy("the viewer left", 0.0), &waits.request);
-                        self.shared.in_hand.fetch_sub(1, Ordering::SeqCst);
+                        self.send(&response::busy("the viewer left", 0.0), &waits.request);
+                        self.shared.open_requests.fetch_sub(1, Ordering::SeqCst);
                     }
                     false
                 }
@@ -220,8 +222,8 @@
                 let Some(next) = queue.pop_front() else { break };
                 let closes = match next {
                     Err(bad) => {
-                        let response = Response::plain(bad.status, &bad.why);
-                        self.put(&http::write(&response, false, false));
+                        let response = Response::plain_text(bad.status, &bad.reason);
+                        self.put(&http::encode_response(&response, false, false));
                         true
                     }
                     Ok(request) => match self.begin(&request) {
@@ -244,15 +246,15 @@
     /// The viewer is gone before its answer reached it. One who asked for a renewed manifest keeps its session.
     fn left(&self, waits: &Waits) {
         if !waits.renews {
-            let _ = self.shared.hub.send(News::Left(waits.id));
+            let _ = self.shared.hub_events.send(HubEvent::ViewerLeft(waits.id));
         }
     }
 
     fn send(&self, response: &Response, request: &Request) -> Sent {
         let keep = request.keep_alive && !self.shared.stopping.load(Ordering::SeqCst);
-        let bytes = http::write(response, request.method == "HEAD", keep);
+        let bytes = http::encode_response(response, request.method == "HEAD", keep);
         let sent = self.put(&bytes);
-        self.patience.answered(self.shared.clock.now());
+        self.timer.response_sent(self.shared.clock.now());
         self.ahead.post();
         match (sent, keep) {
             (false, _) => Sent::Failed,
@@ -264,7 +266,7 @@
     fn begin(&self, request: &Request) -> Begun {
         let shared = &self.shared;
         if request.method != "GET" && request.method != "HEAD" {
-            let mut r = Response::plain(405, "only GET and HEAD are taken");
+            let mut r = Response::plain_text(405, "only GET and HEAD are taken");
             r.headers.push(("Allow", "GET, HEAD".into()));
             return Begun::Answered(r);
         }
@@ -272,46 +274,52 @@
             return self.renew(id, request);
         }
         if !(request.path.starts_with("/m/") && request.path.ends_with(".mpd")) {
-            return Begun::Answered(Response::plain(404, "no such thing here"));
+            return Begun::Answered(Response::plain_text(404, "no such thing here"));
         }
         if shared.stopping.load(Ordering::SeqCst) {
-            return Begun::Answered(answer::busy("this front is stopping", 0.0));
+            return Begun::Answered(response::busy("this front is stopping", 0.0));
         }
         let url = format!("{}{}", shared.public_url, request.path);
-        let token = request.token.clone().or_else(|| http::query(&request.query, "CAT"));
+        let token = request.token.clone().or_else(|| http::query_parameter(&request.query, "CAT"));
         let what = (request.method.as_str(), request.path.as_str(), url.as_str());
         let now = shared.clock.now();
         let asked = shared
-            .door
-            .let_in(what, token.as_deref(), request.proof.as_deref(), now)
+            .authorizer
+            .authorize(what, token.as_deref(), request.proof.as_deref(), now)
             .and_then(|claims| self.ask(&claims, request));
         match asked {
             Ok((ask, title)) => {
                 let id = self.names.next();
                 let group = usize::from(ask.group.0);
                 // The one version that all of this request is answered by.
-                let known = shared.catalogue.as_ref().and_then(|k| k.load());
+                let known = shared.catalogue.as_ref().and_then(|k| k.current_version());
                 let rates = known.as_ref().and_then(|v| self.rates(v, &title));
                 let ask = SessionRequest { rates_kb_per_s: rates.clone(), ..ask };
-                let ticket = Ticket::new(id, title, group, request.at, rates, self.inbox.clone());
-                shared.in_hand.fetch_add(1, Ordering::SeqCst);
-                let _ = shared.hub.send(News::Asked { ask, ticket, known });
+                let ticket =
+                    SessionContext::new(id, title, group, request.received_at, rates, self.inbox.clone());
+                shared.open_requests.fetch_add(1, Ordering::SeqCst);
+                let _ = shared.hub_events.send(HubEvent::SessionRequested {
+                    request: ask,
+                    context: ticket,
+                    catalogue: known,
+                });
                 Begun::Waits { id, renews: false }
             }
             Err(refusal) => {
                 tracing::debug!(path = request.path, reason = refusal.reason(), "not let in: {refusal:?}");
-                Begun::Answered(answer::refused(&refusal))
+                Begun::Answered(response::refused(&refusal))
             }
         }
     }
 
     /// A request that was let in, as the desk takes it, and its title.
     fn ask(&self, claims: &ViewerClaims, request: &Request) -> Result<(SessionRequest, String), Refusal> {
-        let groups = &self.shared.groups;
+        let groups = &self.shared.service_groups;
         let group =
             groups.iter().position(|g| g.name == claims.service_group).ok_or(Refusal::UnknownGroup)?;
-        let of_query = |name: &str| http::query(&request.query, name).and_then(|v| v.parse::<f64>().ok());
-        let patience = groups[group].patience;
+        let of_query =
+            |name: &str| http::query_parameter(&request.query, name).and_then(|v| v.parse::<f64>().ok());
+        let patience = groups[group].wait_limit_ms;
         let top = of_query("top").map_or(u8::MAX, |t| t.clamp(0.0, 255.0) as u8);
         let title = title(&claims.manifest_path);
         let ask = SessionRequest {
@@ -319,7 +327,7 @@
             title: title_id(&title),
             holders: claims.holders.iter().map(|h| ServerId(*h)).collect(),
             rates_kb_per_s: None,
-            highest_rung: top.min(claims.max_rung.unwrap_or(u8::MAX)).min(groups[group].top),
+            highest_rung: top.min(claims.max_rung.unwrap_or(u8::MAX)).min(groups[group].highest_rung),
             time_left: of_query("wait").filter(|w| *w > 0.0).map_or(patience, |w| w.min(patience)),
         };
         Ok((ask, title))
@@ -327,23 +335,27 @@
 
     /// The title's true rates, where the catalogue has them and they are to be reckoned with.
     fn rates(&self, v: &Version, title: &str) -> Option<Arc<[f64]>> {
-        let wanted = self.shared.catalogue.as_ref().is_some_and(|k| k.terms.use_title_rates);
-        advisor::title_rates(v, title, self.shared.ladder.len()).filter(|_| wanted)
+        let wanted = self.shared.catalogue.as_ref().is_some_and(|k| k.settings.use_title_rates);
+        advisor::title_rates(v, title, self.shared.ladder_kb_per_s.len()).filter(|_| wanted)
     }
 
     fn renew(&self, id: &str, request: &Request) -> Begun {
-        let token = http::query(&request.query, "CAT");
-        let own =
-            token.ok_or(Refusal::NoToken).and_then(|t| self.shared.door.own(&t, self.shared.clock.now()));
+        let token = http::query_parameter(&request.query, "CAT");
+        let own = token
+            .ok_or(Refusal::NoToken)
+            .and_then(|t| self.shared.authorizer.verify_session_token(&t, self.shared.clock.now()));
         match own {
             Ok(claims) if claims.session.to_string() == id => {
                 let id = SessionId(claims.session);
-                self.shared.in_hand.fetch_add(1, Ordering::SeqCst);
-                let _ = self.shared.hub.send(News::Renew { id, to: self.inbox.clone() });
+                self.shared.open_requests.fetch_add(1, Ordering::SeqCst);
+                let _ = self
+                    .shared
+                    .hub_events
+                    .send(HubEvent::ManifestRequested { id, reply_to: self.inbox.clone() });
                 Begun::Waits { id, renews: true }
             }
-            Ok(_) => Begun::Answered(answer::refused(&Refusal::OtherTitle)),
-            Err(refusal) => Begun::Answered(answer::refused(&refusal)),
+            Ok(_) => Begun::Answered(response::refused(&Refusal::OtherTitle)),
+            Err(refusal) => Begun::Answered(response::refused(&refusal)),
         }
     }
 }
--- a/crates/front/tests/stack.rs
+++ b/crates/front/tests/stack.rs
@@ -51,7 +51,7 @@
         };
         mpd::to_xml(&told).unwrap();
     };
-    let quarter = walnutline_front::STACK_WORDS / 4;
+    let quarter = walnutline_front::COROUTINE_STACK_WORDS / 4;
     // An overflow hits the guard page and ends the test's process.
     let coroutine = unsafe { Builder::new().stack_size(quarter).spawn(work) }.unwrap();
     coroutine.join().unwrap();
