--- a/crates/settings/src/catalogue_document.rs
+++ b/crates/settings/src/catalogue_document.rs
@@ -1,4 +1,4 @@
-//! A catalogue as a KDL document, for loading by hand. Every fault is told with file, line and column.
+//! A catalogue written as a KDL document, for loading by hand. Every error carries file, line and column.
 //!
 //! ```kdl
 //! number 12
@@ -11,8 +11,8 @@
 //!     holders 3 4
 //! }
 //! ```
-use crate::document::{Num, Text};
-use crate::{place, syntax, too_deep, DocumentError, DEEPEST};
+use crate::document::{Number, Text};
+use crate::{find_excessive_nesting, line_and_column, parser_errors, DocumentError, MAX_NESTING_DEPTH};
 use knus::span::Span;
 use walnutline::ids::{RackId, ServerId};
 use walnutline_catalogue::change::Title;
@@ -22,7 +22,7 @@
 #[derive(knus::Decode)]
 struct Document {
     #[knus(child, unwrap(argument))]
-    number: Option<Num>,
+    number: Option<Number>,
     #[knus(child, unwrap(arguments))]
     groups: Vec<Text>,
     #[knus(children(name = "box"))]
@@ -34,9 +34,9 @@
 #[derive(knus::Decode)]
 struct BoxNode {
     #[knus(argument)]
-    id: Num,
+    id: Number,
     #[knus(property)]
-    rack: Option<Num>,
+    rack: Option<Number>,
     #[knus(property)]
     gone: Option<bool>,
 }
@@ -46,93 +46,102 @@
     #[knus(argument)]
     name: Text,
     #[knus(property)]
-    length: Num,
+    length: Number,
     #[knus(child, unwrap(arguments))]
-    rates: Vec<Num>,
+    rates: Vec<Number>,
     #[knus(child, unwrap(arguments))]
     groups: Vec<Text>,
     #[knus(child, unwrap(arguments))]
-    holders: Vec<Num>,
+    holders: Vec<Number>,
 }
 
-/// Reads a catalogue; `file` is its name in what is told of faults.
+/// Parses and checks a catalogue document; `file` names it in errors.
 pub fn parse(file: &str, text: &str) -> Result<Version, Vec<DocumentError>> {
-    let fault = |(offset, reason): (usize, String)| {
-        let (line, column) = place(text, offset);
+    let located = |(offset, reason): (usize, String)| {
+        let (line, column) = line_and_column(text, offset);
         DocumentError { file: file.into(), line, column, reason }
     };
-    if let Some(offset) = too_deep(text) {
-        return Err(vec![fault((offset, format!("nested deeper than {DEEPEST}")))]);
+    if let Some(offset) = find_excessive_nesting(text) {
+        return Err(vec![located((offset, format!("nested deeper than {MAX_NESTING_DEPTH}")))]);
     }
     let document = knus::parse_with_context::<Document, Span, _>(file, text, |_| {});
-    let document = document.map_err(|e| syntax(&e).into_iter().map(fault).collect::<Vec<_>>())?;
-    version(document).map_err(|faults| faults.into_iter().map(fault).collect())
+    let document = document.map_err(|e| parser_errors(&e).into_iter().map(located).collect::<Vec<_>>())?;
+    version(document).map_err(|errors| errors.into_iter().map(located).collect())
 }
 
-fn id(n: Num, what: &str) -> Result<u32, (usize, String)> {
-    match n.value {
+/// Converts a number to a `u32`; `name` is its name in errors.
+fn integer(number: Number, name: &str) -> Result<u32, (usize, String)> {
+    match number.value {
         v if v.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&v) => Ok(v as u32),
-        v => Err((n.at, format!("{what}: {v} is not a whole number of 0 to {}", u32::MAX))),
+        v => Err((number.offset, format!("{name}: {v} is not a whole number of 0 to {}", u32::MAX))),
     }
 }
 
-fn version(d: Document) -> Result<Version, Vec<(usize, String)>> {
-    let names: Vec<String> = d.groups.iter().map(|g| g.value.clone()).collect();
-    let number = d.number.map_or(Ok(0), |n| id(n, "number")).map_err(|f| vec![f])?;
-    let at = d.groups.first().map_or(0, |g| g.at);
-    let mut builder =
-        VersionBuilder::new(number.into(), names.clone(), None).map_err(|why| vec![(at, why)])?;
-    let mut faults = Vec::new();
-    for b in d.boxes {
-        let rack = b.rack.map(|r| id(r, "rack").map(RackId)).transpose();
-        match (id(b.id, "box"), rack) {
+fn version(document: Document) -> Result<Version, Vec<(usize, String)>> {
+    let group_names: Vec<String> = document.groups.iter().map(|g| g.value.clone()).collect();
+    let number = document.number.map_or(Ok(0), |n| integer(n, "number")).map_err(|e| vec![e])?;
+    let offset = document.groups.first().map_or(0, |g| g.offset);
+    let mut builder = VersionBuilder::new(number.into(), group_names.clone(), None)
+        .map_err(|reason| vec![(offset, reason)])?;
+    let mut errors = Vec::new();
+    for node in document.boxes {
+        let rack = node.rack.map(|r| integer(r, "rack").map(RackId)).transpose();
+        match (integer(node.id, "box"), rack) {
             (Ok(server), Ok(rack)) => {
-                builder.add_box(BoxState { server: ServerId(server), gone: b.gone.unwrap_or(false), rack })
+                builder.add_box(BoxState { server: ServerId(server), gone: node.gone.unwrap_or(false), rack })
             }
-            (server, rack) => faults.extend(server.err().into_iter().chain(rack.err())),
+            (server, rack) => errors.extend(server.err().into_iter().chain(rack.err())),
         }
     }
-    for t in d.titles {
-        let at = t.name.at;
-        let done = title(t, &names).and_then(|t| {
-            let packed = PackedTitle::new(&t).map_err(|why| (at, why))?;
-            builder.add_title(packed).map_err(|why| (at, why))
+    for node in document.titles {
+        let offset = node.name.offset;
+        let added = title(node, &group_names).and_then(|t| {
+            let packed = PackedTitle::new(&t).map_err(|reason| (offset, reason))?;
+            builder.add_title(packed).map_err(|reason| (offset, reason))
         });
-        faults.extend(done.err());
+        errors.extend(added.err());
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(builder.finish())
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-fn title(t: TitleNode, names: &[String]) -> Result<Title, (usize, String)> {
-    let mut groups = 0;
-    for g in &t.groups {
-        let bit = names.iter().position(|n| *n == g.value);
-        groups |=
-            1 << bit.ok_or_else(|| (g.at, format!("service group {:?} is not among the groups", g.value)))?;
+fn title(node: TitleNode, group_names: &[String]) -> Result<Title, (usize, String)> {
+    let mut group_mask = 0;
+    for group in &node.groups {
+        let bit = group_names.iter().position(|n| *n == group.value);
+        group_mask |= 1
+            << bit.ok_or_else(|| {
+                (group.offset, format!("service group {:?} is not among the groups", group.value))
+            })?;
     }
     let mut holders = Vec::new();
-    for h in &t.holders {
-        holders.push(ServerId(id(*h, "holders")?));
+    for holder in &node.holders {
+        holders.push(ServerId(integer(*holder, "holders")?));
     }
     holders.sort_unstable();
-    let rates = t.rates.iter().map(|r| r.value as f32).collect();
-    Ok(Title { name: t.name.value, rates, group_mask: groups, duration_ms: id(t.length, "length")?, holders })
+    let rates = node.rates.iter().map(|r| r.value as f32).collect();
+    Ok(Title {
+        name: node.name.value,
+        rates,
+        group_mask,
+        duration_ms: integer(node.length, "length")?,
+        holders,
+    })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const GOOD: &str = "number 12\ngroups \"council\" \"board\"\nbox 3 rack=1\nbox 4 rack=1 gone=true\n\
+    const VALID: &str = "number 12\ngroups \"council\" \"board\"\nbox 3 rack=1\nbox 4 rack=1 gone=true\n\
         title \"water\" length=60000 {\n    rates 180 360.5\n    groups \"board\"\n    holders 4 3\n}\n";
 
     #[test]
-    fn a_document_is_read() {
-        let v = parse("c.kdl", GOOD).unwrap();
+    fn a_valid_document_becomes_a_version() {
+        let v = parse("c.kdl", VALID).unwrap();
         assert_eq!((v.number(), v.len(), v.under_replicated_counts()), (12, 1, (0, 1)));
         let t = v.title("water").unwrap().unpack();
         assert_eq!((t.rates, t.group_mask, t.duration_ms), (vec![180.0, 360.5], 2, 60_000));
@@ -141,8 +150,8 @@
     }
 
     #[test]
-    fn faults_have_their_place() {
-        for (from, to, wanted) in [
+    fn every_error_names_its_line_and_column() {
+        for (from, to, expected) in [
             ("180 360.5", "360 180", "c.kdl:5:7: title \"water\": rates"),
             ("groups \"board\"", "groups \"bored\"", "c.kdl:7:12: service group \"bored\""),
             ("holders 4 3", "holders 4 4", "c.kdl:5:7: title \"water\": its holders"),
@@ -152,12 +161,12 @@
             ("groups \"council\" \"board\"", "groups \"board\" \"board\"", "c.kdl:2:8: 2 service groups"),
             ("rates 180", "rates {", "c.kdl:"),
         ] {
-            let told = parse("c.kdl", &GOOD.replace(from, to)).unwrap_err();
-            assert!(told[0].to_string().starts_with(wanted), "{to}: {}", told[0]);
+            let errors = parse("c.kdl", &VALID.replace(from, to)).unwrap_err();
+            assert!(errors[0].to_string().starts_with(expected), "{to}: {}", errors[0]);
         }
-        let twice = format!("{GOOD}{}", &GOOD[GOOD.find("title").unwrap()..]);
+        let duplicated = format!("{VALID}{}", &VALID[VALID.find("title").unwrap()..]);
         assert_eq!(
-            parse("c.kdl", &twice).unwrap_err()[0].to_string(),
+            parse("c.kdl", &duplicated).unwrap_err()[0].to_string(),
             "c.kdl:10:7: title \"water\" is given twice"
         );
     }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,7 @@
-//! The document as it is written, each value with its place.
+//! The settings document as it is written: one struct for each KDL node, each value with its offset.
+//!
+//! Fields are named after the document's nodes and properties, which knus derives from them in kebab-case. Times are
+//! in milliseconds and rates in kilobytes per second. Units, ranges and defaults are checked in [`crate::check`].
 use knus::ast::{Literal, TypeName};
 use knus::decode::{Context, Kind};
 use knus::errors::DecodeError;
@@ -6,40 +9,40 @@
 use knus::traits::ErrorSpan;
 use knus::DecodeScalar;
 
-/// A number, with or without a fraction, and its place.
+/// An integer or decimal and its byte offset in the document.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Num {
+pub struct Number {
     pub value: f64,
-    pub at: usize,
+    pub offset: usize,
 }
 
-/// A text and its place.
+/// A string and its byte offset in the document.
 #[derive(Debug, Clone, Default)]
 pub struct Text {
     pub value: String,
-    pub at: usize,
+    pub offset: usize,
 }
 
-fn offset<S: ErrorSpan>(span: &S) -> usize {
-    let span: miette::SourceSpan = span.clone().into();
-    span.offset()
+fn span_offset<S: ErrorSpan>(span: &S) -> usize {
+    let source_span: miette::SourceSpan = span.clone().into();
+    source_span.offset()
 }
 
-impl<S: ErrorSpan> DecodeScalar<S> for Num {
+impl<S: ErrorSpan> DecodeScalar<S> for Number {
     fn type_check(_: &Option<Spanned<TypeName, S>>, _: &mut Context<S>) {}
 
-    fn raw_decode(v: &Spanned<Literal, S>, ctx: &mut Context<S>) -> Result<Self, DecodeError<S>> {
-        let value = match &**v {
+    fn raw_decode(literal: &Spanned<Literal, S>, ctx: &mut Context<S>) -> Result<Self, DecodeError<S>> {
+        let value = match &**literal {
             Literal::Int(i) => i64::try_from(i).ok().map(|i| i as f64),
             Literal::Decimal(d) => f64::try_from(d).ok(),
             _ => {
-                ctx.emit_error(DecodeError::scalar_kind(Kind::Decimal, v));
-                return Ok(Num::default());
+                ctx.emit_error(DecodeError::scalar_kind(Kind::Decimal, literal));
+                return Ok(Number::default());
             }
         };
         match value.filter(|x| x.is_finite()) {
-            Some(value) => Ok(Num { value, at: offset(v.span()) }),
-            None => Err(DecodeError::conversion(v, "not a number that can be used")),
+            Some(value) => Ok(Number { value, offset: span_offset(literal.span()) }),
+            None => Err(DecodeError::conversion(literal, "number is out of range")),
         }
     }
 }
@@ -47,17 +50,18 @@
 impl<S: ErrorSpan> DecodeScalar<S> for Text {
     fn type_check(_: &Option<Spanned<TypeName, S>>, _: &mut Context<S>) {}
 
-    fn raw_decode(v: &Spanned<Literal, S>, ctx: &mut Context<S>) -> Result<Self, DecodeError<S>> {
-        match &**v {
-            Literal::String(s) => Ok(Text { value: s.to_string(), at: offset(v.span()) }),
+    fn raw_decode(literal: &Spanned<Literal, S>, ctx: &mut Context<S>) -> Result<Self, DecodeError<S>> {
+        match &**literal {
+            Literal::String(s) => Ok(Text { value: s.to_string(), offset: span_offset(literal.span()) }),
             _ => {
-                ctx.emit_error(DecodeError::scalar_kind(Kind::String, v));
+                ctx.emit_error(DecodeError::scalar_kind(Kind::String, literal));
                 Ok(Text::default())
             }
         }
     }
 }
 
+/// The whole settings document.
 #[derive(knus::Decode)]
 pub struct Document {
     #[knus(child, unwrap(argument))]
@@ -69,202 +73,217 @@
     #[knus(child, unwrap(argument))]
     pub seed: Option<u64>,
     #[knus(child, unwrap(argument))]
-    pub fronts: Num,
+    pub fronts: Number,
     #[knus(child)]
-    pub ladder: Ladder,
+    pub ladder: LadderNode,
     #[knus(children(name = "service-group"))]
-    pub groups: Vec<Group>,
+    pub groups: Vec<ServiceGroupNode>,
     #[knus(children(name = "kind"))]
-    pub kinds: Vec<KindOf>,
+    pub kinds: Vec<KindNode>,
     #[knus(child)]
-    pub links: Links,
+    pub links: LinksNode,
     #[knus(child)]
-    pub reports: Reports,
+    pub reports: ReportsNode,
     #[knus(child)]
-    pub setups: Setups,
+    pub setups: SetupsNode,
     #[knus(child)]
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdNode>,
     #[knus(child)]
-    pub come_back: Option<ComeBack>,
+    pub come_back: Option<ComeBackNode>,
     #[knus(child)]
     pub waits: WaitsNode,
     #[knus(child)]
-    pub viewers: Viewers,
+    pub viewers: ViewersNode,
     #[knus(child)]
-    pub tokens: Tokens,
+    pub tokens: TokensNode,
     #[knus(child)]
-    pub manifest: Manifest,
+    pub manifest: ManifestNode,
     #[knus(child)]
-    pub catalogue: Option<Catalogue>,
+    pub catalogue: Option<CatalogueNode>,
 }
 
+/// Where the catalogue is stored and fetched from. Without this node the front has no catalogue.
 #[derive(knus::Decode)]
-pub struct Catalogue {
-    /// Beside the settings.
+pub struct CatalogueNode {
+    /// Relative to the document's folder.
     #[knus(property)]
     pub folder: Text,
     #[knus(property)]
     pub source: Option<Text>,
     #[knus(property)]
-    pub probes_each: Num,
+    pub probes_each: Number,
     #[knus(property)]
-    pub probes_saved: Num,
+    pub probes_saved: Number,
     #[knus(property)]
-    pub news_old: Num,
+    pub news_old: Number,
     #[knus(property)]
     pub rates: Option<bool>,
 }
 
+/// The rungs of the rate ladder, lowest first.
 #[derive(knus::Decode)]
-pub struct Ladder {
+pub struct LadderNode {
     #[knus(children(name = "rung"))]
-    pub rungs: Vec<Rung>,
+    pub rungs: Vec<RungNode>,
 }
 
+/// Rate and utility of one rung.
 #[derive(knus::Decode)]
-pub struct Rung {
+pub struct RungNode {
     #[knus(property)]
-    pub kb: Num,
+    pub kb: Number,
     #[knus(property)]
-    pub utility: Num,
+    pub utility: Number,
 }
 
+/// What differs for the viewers of one service group.
 #[derive(knus::Decode)]
-pub struct Group {
+pub struct ServiceGroupNode {
     #[knus(argument)]
     pub name: Text,
     #[knus(property)]
-    pub start_target: Num,
+    pub start_target: Number,
     #[knus(property)]
-    pub setup_timeout: Num,
+    pub setup_timeout: Number,
     #[knus(property)]
-    pub utility: Num,
+    pub utility: Number,
     #[knus(property)]
     pub repeat: Text,
     #[knus(property)]
-    pub window: Option<Num>,
+    pub window: Option<Number>,
     #[knus(property)]
-    pub floor: Option<Num>,
+    pub floor: Option<Number>,
     #[knus(property)]
-    pub top: Option<Num>,
+    pub top: Option<Number>,
     #[knus(property)]
-    pub scale: Option<Num>,
+    pub scale: Option<Number>,
     #[knus(property)]
-    pub seats: Option<Num>,
+    pub seats: Option<Number>,
 }
 
+/// A kind of box.
 #[derive(knus::Decode)]
-pub struct KindOf {
-    /// For the reader; the list names kinds by their position.
+pub struct KindNode {
+    /// For people only: the list of boxes refers to kinds by position.
     #[knus(argument)]
     pub _name: String,
     #[knus(property)]
-    pub streams: Num,
+    pub streams: Number,
 }
 
+/// Capacity of the boxes' links and of their racks' uplinks.
 #[derive(knus::Decode)]
-pub struct Links {
+pub struct LinksNode {
     #[knus(property)]
-    pub link_kb: Num,
+    pub link_kb: Number,
     #[knus(property)]
-    pub uplink_kb: Num,
+    pub uplink_kb: Number,
 }
 
+/// How boxes report their load.
 #[derive(knus::Decode)]
-pub struct Reports {
+pub struct ReportsNode {
     #[knus(property)]
     pub via: Text,
     #[knus(property)]
-    pub delay: Num,
+    pub delay: Number,
     #[knus(child, unwrap(arguments))]
     pub columns: Vec<Text>,
 }
 
+/// Limits on the SETUPs for each request.
 #[derive(knus::Decode)]
-pub struct Setups {
+pub struct SetupsNode {
     #[knus(property)]
-    pub most: Num,
+    pub most: Number,
     #[knus(child)]
-    pub budget: Option<BudgetOf>,
+    pub budget: Option<BudgetNode>,
 }
 
+/// Limit on further SETUPs after the first one of each request.
 #[derive(knus::Decode)]
-pub struct BudgetOf {
+pub struct BudgetNode {
     #[knus(property)]
-    pub free: Num,
+    pub free: Number,
     #[knus(property)]
-    pub share: Num,
+    pub share: Number,
     #[knus(property)]
-    pub span: Num,
+    pub span: Number,
 }
 
+/// Restrictions on a box that has just started.
 #[derive(knus::Decode)]
-pub struct Cold {
+pub struct ColdNode {
     #[knus(property)]
-    pub lasts: Num,
+    pub lasts: Number,
     #[knus(property)]
-    pub from: Num,
+    pub from: Number,
     #[knus(property)]
-    pub multiple: Num,
+    pub multiple: Number,
     #[knus(property)]
-    pub span: Num,
+    pub span: Number,
 }
 
+/// The wait that busy replies ask viewers for.
 #[derive(knus::Decode)]
-pub struct ComeBack {
+pub struct ComeBackNode {
     #[knus(property)]
-    pub most: Num,
+    pub most: Number,
 }
 
+/// Time-outs of connections.
 #[derive(knus::Decode)]
 pub struct WaitsNode {
     #[knus(property)]
-    pub connect: Num,
+    pub connect: Number,
     #[knus(property)]
-    pub probe: Num,
+    pub probe: Number,
     #[knus(property)]
-    pub silence: Num,
+    pub silence: Number,
     #[knus(property)]
-    pub way_back: Num,
+    pub way_back: Number,
 }
 
+/// Limits on viewers' connections.
 #[derive(knus::Decode)]
-pub struct Viewers {
+pub struct ViewersNode {
     #[knus(property)]
-    pub connections: Num,
+    pub connections: Number,
     #[knus(property)]
-    pub header_bytes: Num,
+    pub header_bytes: Number,
     #[knus(property)]
-    pub headers: Num,
+    pub headers: Number,
     #[knus(property)]
-    pub header_time: Num,
+    pub header_time: Number,
     #[knus(property)]
-    pub idle: Num,
+    pub idle: Number,
     #[knus(property)]
-    pub pipelined: Num,
+    pub pipelined: Number,
     #[knus(property)]
-    pub write_time: Num,
+    pub write_time: Number,
 }
 
+/// Checks of tokens and proofs, and the keys for them.
 #[derive(knus::Decode)]
-pub struct Tokens {
+pub struct TokensNode {
     #[knus(property)]
-    pub proof_age: Num,
+    pub proof_age: Number,
     #[knus(property)]
-    pub clock_skew: Num,
+    pub clock_skew: Number,
     #[knus(property)]
-    pub proofs: Num,
+    pub proofs: Number,
     #[knus(children(name = "issuer-key"))]
-    pub issuer: Vec<Key>,
+    pub issuer: Vec<KeyNode>,
     #[knus(children(name = "session-key"))]
-    pub session: Vec<Key>,
+    pub session: Vec<KeyNode>,
 }
 
+/// A key and the time in which it is valid.
 #[derive(knus::Decode)]
-pub struct Key {
+pub struct KeyNode {
     #[knus(argument)]
     pub id: Text,
-    /// Beside the settings; its text is the key's 32 bytes as base64url.
+    /// File with the key's 32 bytes as base64url, relative to the document's folder.
     #[knus(property)]
     pub file: Text,
     #[knus(property)]
@@ -273,12 +292,13 @@
     pub until: Option<Text>,
 }
 
+/// Times that are written into manifests.
 #[derive(knus::Decode)]
-pub struct Manifest {
+pub struct ManifestNode {
     #[knus(property)]
-    pub segment: Num,
+    pub segment: Number,
     #[knus(property)]
-    pub update: Num,
+    pub update: Number,
     #[knus(property)]
-    pub token_lasts: Num,
+    pub token_lasts: Number,
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::path::PathBuf;
 
-const GOOD: &str = r#"listen "127.0.0.1:0"
+const VALID: &str = r#"listen "127.0.0.1:0"
 list "http://127.0.0.1:9000/boxes"
 fronts 3
 ladder {
@@ -29,8 +29,8 @@
 manifest segment=500 update=2000 token-lasts=3600000
 "#;
 
-/// A folder with the keys that the document names.
-fn folder(name: &str) -> PathBuf {
+/// Creates a folder with the key files that the document names.
+fn key_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("walnutline-settings-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let key = SigningKey::from_bytes(&[3; 32]);
@@ -40,29 +40,36 @@
     folder
 }
 
-fn faults(name: &str, text: &str) -> Vec<String> {
-    let folder = folder(name);
+/// Messages of the errors in `text`; `name` keeps the folders of tests apart.
+fn errors(name: &str, text: &str) -> Vec<String> {
+    let folder = key_folder(name);
     let result = parse("f.kdl", text, &folder);
     std::fs::remove_dir_all(folder).unwrap();
     result.err().unwrap_or_default().iter().map(DocumentError::to_string).collect()
 }
 
 #[test]
-fn a_good_document_is_read_whole() {
-    let folder = folder("good");
-    let d = parse("f.kdl", GOOD, &folder).unwrap_or_else(|f| panic!("{f:?}"));
+fn a_valid_document_becomes_settings() {
+    let folder = key_folder("valid");
+    let settings = parse("f.kdl", VALID, &folder).unwrap_or_else(|errors| panic!("{errors:?}"));
     std::fs::remove_dir_all(folder).unwrap();
-    assert_eq!(d.service_groups[1], ("board-loop".to_owned(), 5_000.0));
-    assert_eq!(d.policy.rung_kb_per_s, [200.0, 450.5]);
-    assert_eq!((d.policy.service_groups[1].lowest_rung, d.policy.service_groups[1].highest_rung), (1, 1));
-    assert_eq!(d.policy.retry_budget.map(|b| b.free_retries), Some(5.0));
-    assert!(d.policy.reports_by_probe && d.policy.max_retry_after.is_some());
-    assert_eq!(d.list_path, "/boxes");
-    assert!(d.session_keys.signing_key(1.9e12).is_some() && d.session_keys.signing_key(2e12).is_none());
+    assert_eq!(settings.service_groups[1], ("board-loop".to_owned(), 5_000.0));
+    assert_eq!(settings.policy.rung_kb_per_s, [200.0, 450.5]);
+    assert_eq!(
+        (settings.policy.service_groups[1].lowest_rung, settings.policy.service_groups[1].highest_rung),
+        (1, 1)
+    );
+    assert_eq!(settings.policy.retry_budget.map(|b| b.free_retries), Some(5.0));
+    assert!(settings.policy.reports_by_probe && settings.policy.max_retry_after.is_some());
+    assert_eq!(settings.list_path, "/boxes");
+    assert!(
+        settings.session_keys.signing_key(1.9e12).is_some()
+            && settings.session_keys.signing_key(2e12).is_none()
+    );
 }
 
 #[test]
-fn every_fault_is_told_with_its_place() {
+fn every_invalid_value_is_reported_with_its_position() {
     let cases = [
         ("fronts 3", "fronts 0", "f.kdl:3:8: fronts: 0 is not between 1 and 1000000"),
         ("fronts 3", "fronts 2.5", "f.kdl:3:8: fronts: 2.5 is not a whole number"),
@@ -80,16 +87,19 @@
             "f.kdl:9:15: service-group: \"council-notice\" is named twice",
         ),
     ];
-    for (n, (from, to, wanted)) in cases.into_iter().enumerate() {
-        assert!(GOOD.contains(from), "{from}");
-        let told = faults(&format!("case{n}"), &GOOD.replacen(from, to, 1));
-        assert!(told.iter().any(|t| t.starts_with(wanted)), "{to}: wanted {wanted:?}, told {told:?}");
+    for (n, (from, to, expected)) in cases.into_iter().enumerate() {
+        assert!(VALID.contains(from), "{from}");
+        let found = errors(&format!("case{n}"), &VALID.replacen(from, to, 1));
+        assert!(
+            found.iter().any(|t| t.starts_with(expected)),
+            "{to}: expected {expected:?}, found {found:?}"
+        );
     }
 }
 
 #[test]
-fn what_is_missing_unknown_or_no_kdl_is_told() {
-    for (n, (from, to, wanted)) in [
+fn missing_and_unknown_names_and_invalid_kdl_are_reported() {
+    for (n, (from, to, expected)) in [
         ("setups most=3", "setups", "most"),
         ("manifest segment=500", "manifest segment=500 colour=\"red\"", "colour"),
         ("come-back", "go-back", "go-back"),
@@ -99,11 +109,11 @@
     .into_iter()
     .enumerate()
     {
-        let told = faults(&format!("missing{n}"), &GOOD.replacen(from, to, 1));
-        assert!(told.iter().any(|t| t.contains(wanted)), "{to}: {told:?}");
+        let found = errors(&format!("missing{n}"), &VALID.replacen(from, to, 1));
+        assert!(found.iter().any(|t| t.contains(expected)), "{to}: {found:?}");
     }
-    let two = GOOD.replacen("fronts 3", "fronts 0", 1).replacen("most=3", "most=0", 1);
-    assert_eq!(faults("two", &two).len(), 2);
+    let two_errors = VALID.replacen("fronts 3", "fronts 0", 1).replacen("most=3", "most=0", 1);
+    assert_eq!(errors("two", &two_errors).len(), 2);
 }
 
 use proptest::prelude::*;
@@ -111,22 +121,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// A sound document with a stretch cut out, doubled or overwritten is read or refused with its place.
+    /// A valid document with a range removed or overwritten is either accepted or rejected with a position in it.
     #[test]
-    fn nearly_right_is_no_panic(at in 0usize..1_400, len in 0usize..60, with in "\\PC{0,12}") {
-        let at = GOOD.char_indices().map(|(n, _)| n).nth(at.min(GOOD.len() - 1)).unwrap_or(0);
-        let end = (at + len).min(GOOD.len());
-        let text = format!("{}{with}{}", &GOOD[..at], &GOOD[end..]);
-        if let Err(faults) = parse("f.kdl", &text, std::path::Path::new("/nowhere")) {
-            prop_assert!(!faults.is_empty());
+    fn damaged_documents_do_not_panic(at in 0usize..1_400, len in 0usize..60, with in "\\PC{0,12}") {
+        let at = VALID.char_indices().map(|(n, _)| n).nth(at.min(VALID.len() - 1)).unwrap_or(0);
+        let end = (at + len).min(VALID.len());
+        let text = format!("{}{with}{}", &VALID[..at], &VALID[end..]);
+        if let Err(errors) = parse("f.kdl", &text, std::path::Path::new("/nowhere")) {
+            prop_assert!(!errors.is_empty());
             let lines = text.split('\n').count();
-            prop_assert!(faults.iter().all(|f| (1..=lines).contains(&f.line)), "{faults:?}");
+            prop_assert!(errors.iter().all(|e| (1..=lines).contains(&e.line)), "{errors:?}");
         }
     }
 }
 
 #[test]
-fn deep_nesting_is_refused_with_its_place() {
+fn deep_nesting_is_rejected_with_its_position() {
     let deep = format!("listen \"x\"\n{}{}", "a {".repeat(5_000), "}".repeat(5_000));
-    assert_eq!(faults("deep", &deep), ["f.kdl:2:51: nested deeper than 16"]);
+    assert_eq!(errors("deep", &deep), ["f.kdl:2:51: nested deeper than 16"]);
 }
