--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,6 +1,6 @@
 //! `walnutline node`: the front node on the operators' platform.
 use std::path::PathBuf;
-use walnutline_node::edge::{self, Start};
+use walnutline_node::edge::{self, StartOptions};
 
 /// Runs until SIGTERM; what it is told comes by the environment, as the platform prescribes.
 pub fn run() -> Result<(), String> {
@@ -12,5 +12,8 @@
     let listen = listen.parse().map_err(|e| format!("NODE_LISTEN: {listen}: {e}"))?;
     let name = told("NODE_NAME")?;
     tracing::info!(target: "walnutline::mode", name, "node starts");
-    edge::run(Start { listen, file: PathBuf::from(told("NODE_CONFIG")?) })
+    edge::run(StartOptions {
+        listen_address: listen,
+        configuration_path: PathBuf::from(told("NODE_CONFIG")?),
+    })
 }
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -1,7 +1,7 @@
-//! The one thread that owns the core and all sockets: it polls them, tells the core what came in, and does at once
-//! what the core says to it.
-use super::socket::{Heard, Peer, Side, Socket};
-use super::{Clock, News};
+//! The one thread that owns the core and all sockets. It polls the sockets, passes everything received to the core, and
+//! performs the core's actions at once.
+use super::socket::{PeerRole, PeerState, ReadResult, Socket};
+use super::{Clock, HubMessage};
 use crate::actions::{ConnectionEnd, ConnectionId, IoAction};
 use crate::core::Node;
 use crate::limits;
@@ -15,86 +15,88 @@
 use walnutline::ids::{Ms, SessionId};
 use walnutline_platform::{discovery, peers};
 
-/// How soon bytes that a socket did not take, or a SETUP that is held back, are tried again, in milliseconds.
-const AGAIN: Ms = 10.0;
-/// How long no connection is taken in once there was no descriptor for one.
-const REFUSED: Ms = 20.0;
-/// Connections taken in, and datagrams heard of each kind, before others have their turn.
-const TURN: usize = 64;
-/// Events that one poll may tell.
-const EVENTS: usize = 256;
-
-// Connections are polled under their own numbers, which count from one.
-pub(super) const SIGNALS: Token = Token(usize::MAX);
-const LISTENER: Token = Token(usize::MAX - 1);
-const NAMES: Token = Token(usize::MAX - 2);
-const PEERS: Token = Token(usize::MAX - 3);
-
-/// A SETUP that is held back while something of its viewer is unheard.
-struct Held {
+/// Interval at which writes that the kernel did not accept, and SETUPs that are held back, are tried again.
+const RETRY_INTERVAL: Ms = 10.0;
+/// Pause before connections are accepted again after `accept` has failed, usually for want of a descriptor.
+const ACCEPT_PAUSE: Ms = 20.0;
+/// Connections accepted, and datagrams received on one socket, before other work is done.
+const MAX_BATCH: usize = 64;
+/// Events returned by one poll.
+const EVENT_CAPACITY: usize = 256;
+
+// A connection is polled under its id; ids count up from one and never reach these.
+pub(super) const WAKER_TOKEN: Token = Token(usize::MAX);
+const LISTENER_TOKEN: Token = Token(usize::MAX - 1);
+const NAME_SERVICE_TOKEN: Token = Token(usize::MAX - 2);
+const PEERS_TOKEN: Token = Token(usize::MAX - 3);
+
+/// A SETUP that is held back because data from its viewer has not been read yet.
+struct HeldSetup {
     id: SessionId,
-    no: u32,
+    attempt: u32,
     since: Ms,
 }
 
-/// What comes in by datagrams.
-struct Datagrams {
+/// A UDP socket and its receive buffer.
+struct DatagramSocket {
     socket: UdpSocket,
     buffer: Vec<u8>,
-    /// There may be more to hear.
-    queued: bool,
+    /// There may be datagrams to receive.
+    readable: bool,
 }
 
-impl Datagrams {
-    fn new(poll: &Poll, mut socket: UdpSocket, token: Token, longest: usize) -> io::Result<Self> {
+impl DatagramSocket {
+    fn new(poll: &Poll, mut socket: UdpSocket, token: Token, max_bytes: usize) -> io::Result<Self> {
         poll.registry().register(&mut socket, token, Interest::READABLE)?;
-        Ok(Datagrams { socket, buffer: vec![0; longest], queued: true })
+        Ok(DatagramSocket { socket, buffer: vec![0; max_bytes], readable: true })
     }
 
-    /// The next one. Errors of a socket without a connection tell of earlier sends and are passed over.
-    fn next(&mut self) -> Option<(SocketAddr, &[u8])> {
-        for _ in 0..TURN {
+    /// Receives the next datagram. Errors are skipped: on an unconnected socket they report earlier sends.
+    fn receive(&mut self) -> Option<(SocketAddr, &[u8])> {
+        for _ in 0..MAX_BATCH {
             match self.socket.recv_from(&mut self.buffer) {
                 Ok((n, from)) => return Some((from, &self.buffer[..n])),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {}
             }
         }
-        self.queued = false;
+        self.readable = false;
         None
     }
 }
 
+/// The event loop, with the core and all sockets.
 pub(super) struct Hub {
     node: Node,
     clock: Clock,
     poll: Poll,
     listener: TcpListener,
-    names: Datagrams,
-    peers: Option<Datagrams>,
-    open: HashMap<ConnectionId, Socket>,
-    /// How many of them are viewers', and may be at most: a few more than the core holds, which closes one for each
-    /// that comes in beyond.
-    viewers: usize,
-    most_viewers: usize,
-    /// There may be connections to take in, and from when on.
-    coming: bool,
-    coming_from: Ms,
-    /// Connections that may hold something to read.
-    unread: VecDeque<ConnectionId>,
-    /// Connections with a backlog.
-    behind: Vec<ConnectionId>,
-    held: Vec<Held>,
-    /// When the last poll told what came in.
-    woke: Ms,
-    /// The core has said that the process may end, or must.
-    exit: Option<bool>,
+    name_service: DatagramSocket,
+    peers: Option<DatagramSocket>,
+    sockets: HashMap<ConnectionId, Socket>,
+    /// Number of viewers' connections in `sockets`.
+    viewer_count: usize,
+    /// Limit of `viewer_count`: a few more than the core holds, which closes one for each that exceeds its own limit.
+    max_viewers: usize,
+    /// There may be connections to accept.
+    accept_pending: bool,
+    /// No connection is accepted before this time.
+    accept_not_before: Ms,
+    /// Connections that may have data to read.
+    read_queue: VecDeque<ConnectionId>,
+    /// Connections with a write backlog.
+    backlogged: Vec<ConnectionId>,
+    held_setups: Vec<HeldSetup>,
+    /// When the last poll returned.
+    last_wakeup: Ms,
+    /// Set when the core has requested the end of the process; `true`: at once, whatever is still in transit.
+    requested_exit: Option<bool>,
 }
 
-/// Without its hub a node takes requests and answers none: better that the process ends.
-struct Guard;
+/// Aborts the process when the hub panics: without its hub, a node would accept requests and answer none.
+struct AbortOnPanic;
 
-impl Drop for Guard {
+impl Drop for AbortOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             tracing::error!("the hub broke; the node ends");
@@ -104,246 +106,253 @@
 }
 
 impl Hub {
+    /// Registers the listener and the datagram sockets with `poll`. Without `peers`, nothing is exchanged with other nodes.
     pub fn new(
         node: Node,
         clock: Clock,
         poll: Poll,
         mut listener: TcpListener,
-        names: UdpSocket,
+        name_service: UdpSocket,
         peers: Option<UdpSocket>,
     ) -> io::Result<Self> {
-        poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let names = Datagrams::new(&poll, names, NAMES, discovery::MAX_ANSWER_BYTES)?;
-        // A byte more than is allowed: a longer one is told from one of that length.
-        let peers =
-            peers.map(|p| Datagrams::new(&poll, p, PEERS, peers::MAX_DATAGRAM_BYTES + 1)).transpose()?;
+        poll.registry().register(&mut listener, LISTENER_TOKEN, Interest::READABLE)?;
+        let name_service =
+            DatagramSocket::new(&poll, name_service, NAME_SERVICE_TOKEN, discovery::MAX_ANSWER_BYTES)?;
+        // One byte more than the limit, so that a longer datagram can be told from one of exactly that length.
+        let peers = peers
+            .map(|p| DatagramSocket::new(&poll, p, PEERS_TOKEN, peers::MAX_DATAGRAM_BYTES + 1))
+            .transpose()?;
         Ok(Hub {
-            most_viewers: node.max_viewer_connections() + limits::EXTRA_VIEWER_CONNECTIONS,
+            max_viewers: node.max_viewer_connections() + limits::EXTRA_VIEWER_CONNECTIONS,
             node,
             clock,
             poll,
             listener,
-            names,
+            name_service,
             peers,
-            open: HashMap::new(),
-            viewers: 0,
-            coming: true,
-            coming_from: Ms::NEG_INFINITY,
-            unread: VecDeque::new(),
-            behind: Vec::new(),
-            held: Vec::new(),
-            woke: clock.now(),
-            exit: None,
+            sockets: HashMap::new(),
+            viewer_count: 0,
+            accept_pending: true,
+            accept_not_before: Ms::NEG_INFINITY,
+            read_queue: VecDeque::new(),
+            backlogged: Vec::new(),
+            held_setups: Vec::new(),
+            last_wakeup: clock.now(),
+            requested_exit: None,
         })
     }
 
-    /// `signals` come by a way of their own: what peers send does not hold them up.
-    pub fn run(mut self, signals: &Receiver<News>) {
-        let _guard = Guard;
-        let mut events = Events::with_capacity(EVENTS);
-        self.perform();
+    /// Runs the event loop until the process ends. `messages` have a channel of their own, so that traffic on the
+    /// sockets does not delay them.
+    pub fn run(mut self, messages: &Receiver<HubMessage>) {
+        let _guard = AbortOnPanic;
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        self.perform_actions();
         loop {
-            let wait = Duration::from_secs_f64(self.wait() / 1_000.0);
-            match self.poll.poll(&mut events, Some(wait)) {
+            let timeout = Duration::from_secs_f64(self.poll_timeout() / 1_000.0);
+            match self.poll.poll(&mut events, Some(timeout)) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => panic!("poll: {e}"),
                 _ => {}
             }
-            self.woke = self.clock.now();
-            for news in signals.try_iter() {
-                match news {
-                    News::Configured(told) => {
-                        tracing::info!(target: "walnutline::mode", names = %told.name_service, "configuration read anew");
-                        self.node.apply_configuration(*told, self.woke);
+            self.last_wakeup = self.clock.now();
+            for message in messages.try_iter() {
+                match message {
+                    HubMessage::Reconfigure(configuration) => {
+                        tracing::info!(target: "walnutline::mode", names = %configuration.name_service, "configuration read anew");
+                        self.node.apply_configuration(*configuration, self.last_wakeup);
                     }
-                    News::Stop { at } => self.node.stop(at),
+                    HubMessage::Stop { at } => self.node.stop(at),
                 }
             }
             for event in &events {
                 match event.token() {
-                    LISTENER => self.coming = true,
-                    NAMES => self.names.queued = true,
-                    PEERS => self.peers.iter_mut().for_each(|p| p.queued = true),
-                    SIGNALS => {}
-                    Token(conn) => self.queue(ConnectionId(conn as u64)),
+                    LISTENER_TOKEN => self.accept_pending = true,
+                    NAME_SERVICE_TOKEN => self.name_service.readable = true,
+                    PEERS_TOKEN => self.peers.iter_mut().for_each(|p| p.readable = true),
+                    WAKER_TOKEN => {}
+                    Token(conn) => self.queue_for_reading(ConnectionId(conn as u64)),
                 }
             }
-            for _ in 0..self.unread.len() {
-                self.turn();
+            for _ in 0..self.read_queue.len() {
+                self.read_next();
             }
-            self.accept(self.most_viewers);
-            self.hear_datagrams();
+            self.accept_viewers(self.max_viewers);
+            self.receive_datagrams();
             self.node.handle_timers(self.clock.now());
-            self.perform();
-            self.try_held();
-            self.catch_up();
-            self.exit_if_settled();
+            self.perform_actions();
+            self.retry_held_setups();
+            self.flush_backlogs();
+            self.exit_if_drained();
         }
     }
 
-    /// How long nothing is to be done unless something comes in.
-    fn wait(&self) -> Ms {
+    /// Returns how long the poll may block.
+    fn poll_timeout(&self) -> Ms {
         let now = self.clock.now();
-        let mut wait = (self.node.next_call_at(now) - now).clamp(0.0, 1_000.0);
-        if !self.behind.is_empty() || !self.held.is_empty() {
-            wait = wait.min(AGAIN);
+        let mut timeout = (self.node.next_call_at(now) - now).clamp(0.0, 1_000.0);
+        if !self.backlogged.is_empty() || !self.held_setups.is_empty() {
+            timeout = timeout.min(RETRY_INTERVAL);
         }
-        if self.coming && self.viewers < self.most_viewers {
-            wait = wait.min((self.coming_from - now).max(0.0));
+        if self.accept_pending && self.viewer_count < self.max_viewers {
+            timeout = timeout.min((self.accept_not_before - now).max(0.0));
         }
-        let datagrams = self.names.queued || self.peers.as_ref().is_some_and(|p| p.queued);
-        if datagrams || !self.unread.is_empty() {
-            wait = 0.0;
+        let datagrams = self.name_service.readable || self.peers.as_ref().is_some_and(|p| p.readable);
+        if datagrams || !self.read_queue.is_empty() {
+            timeout = 0.0;
         }
-        wait
+        timeout
     }
 
-    // ---- what comes in ----
+    // ---- input ----
 
-    /// A connection may hold something to read.
-    fn queue(&mut self, conn: ConnectionId) {
-        if let Some(socket) = self.open.get_mut(&conn).filter(|s| !s.queued) {
-            socket.queued = true;
-            self.unread.push_back(conn);
+    /// Adds a connection that may have data to the read queue, unless it is there already.
+    fn queue_for_reading(&mut self, conn: ConnectionId) {
+        if let Some(socket) = self.sockets.get_mut(&conn).filter(|s| !s.queued_for_reading) {
+            socket.queued_for_reading = true;
+            self.read_queue.push_back(conn);
         }
     }
 
-    /// Reads the connection that is next, so much of it that the others do not wait long.
-    fn turn(&mut self) {
-        let Some(conn) = self.unread.pop_front() else { return };
-        let Some(socket) = self.open.get_mut(&conn) else { return };
-        socket.queued = false;
-        if socket.opening {
-            match socket.came_up() {
+    /// Reads from the first connection of the read queue. The amount is limited, so that the others are not delayed; a
+    /// connection that may have more is queued again.
+    fn read_next(&mut self) {
+        let Some(conn) = self.read_queue.pop_front() else { return };
+        let Some(socket) = self.sockets.get_mut(&conn) else { return };
+        socket.queued_for_reading = false;
+        if socket.connecting {
+            match socket.check_connected() {
                 Ok(false) => return,
                 Ok(true) => {
                     self.node.server_connected(conn, self.clock.now());
-                    self.perform();
+                    self.perform_actions();
                 }
-                Err(e) => return self.ended(conn, connecting_ended(&e)),
+                Err(e) => return self.connection_ended(conn, connect_error_end(&e)),
             }
         }
         let mut buffer = [0; limits::READ_BUFFER_BYTES];
         for _ in 0..limits::MAX_CONSECUTIVE_READS {
-            let Some(socket) = self.open.get_mut(&conn) else { return };
+            let Some(socket) = self.sockets.get_mut(&conn) else { return };
             match socket.read(&mut buffer) {
-                Heard::Bytes(n) => {
+                ReadResult::Bytes(n) => {
                     tracing::trace!(target: "walnutline::bytes", conn = conn.0, "in {}", buffer[..n].escape_ascii());
-                    self.node.bytes_received(conn, &buffer[..n], self.woke, self.clock.now());
-                    // An answer goes out before anything else is looked at: until its viewer has it, its session
-                    // may be over already.
-                    self.perform();
+                    self.node.bytes_received(conn, &buffer[..n], self.last_wakeup, self.clock.now());
+                    // Answers are sent before anything else is processed: a session may end before its viewer has
+                    // received the answer.
+                    self.perform_actions();
                 }
-                Heard::Nothing => return,
-                Heard::End(end) => return self.ended(conn, end),
+                ReadResult::WouldBlock => return,
+                ReadResult::Ended(end) => return self.connection_ended(conn, end),
             }
         }
-        self.queue(conn);
+        self.queue_for_reading(conn);
     }
 
-    /// A connection is over.
-    fn ended(&mut self, conn: ConnectionId, end: ConnectionEnd) {
+    /// Removes a connection that has ended, or could not be established, and reports it to the core.
+    fn connection_ended(&mut self, conn: ConnectionId, end: ConnectionEnd) {
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "closed {end:?}");
-        self.remove(conn);
+        self.remove_socket(conn);
         self.node.connection_closed(conn, end, self.clock.now());
-        self.perform();
+        self.perform_actions();
     }
 
-    fn remove(&mut self, conn: ConnectionId) -> Option<Socket> {
-        let socket = self.open.remove(&conn)?;
-        self.viewers -= usize::from(socket.side == Side::Viewer);
+    fn remove_socket(&mut self, conn: ConnectionId) -> Option<Socket> {
+        let socket = self.sockets.remove(&conn)?;
+        self.viewer_count -= usize::from(socket.peer_role == PeerRole::Viewer);
         Some(socket)
     }
 
-    /// Takes in viewers' connections that wait, so many that there are `most`; whether there was one.
-    fn accept(&mut self, most: usize) -> bool {
+    /// Accepts viewers' connections as long as there are fewer than `max_viewers`; returns whether it accepted any.
+    fn accept_viewers(&mut self, max_viewers: usize) -> bool {
         let mut any = false;
-        for _ in 0..TURN {
+        for _ in 0..MAX_BATCH {
             let now = self.clock.now();
-            if !self.coming || now < self.coming_from || self.viewers >= most {
+            if !self.accept_pending || now < self.accept_not_before || self.viewer_count >= max_viewers {
                 break;
             }
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     any = true;
-                    self.accepted(Socket::accepted(stream), now);
+                    self.add_viewer(Socket::from_accepted(stream), now);
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.coming = false,
-                // One that was closed before it was taken.
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
+                // The peer closed the connection before it was accepted.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => {
                     tracing::warn!("accept: {e}");
-                    self.coming_from = now + REFUSED;
+                    self.accept_not_before = now + ACCEPT_PAUSE;
                 }
             }
         }
         any
     }
 
-    fn accepted(&mut self, socket: Socket, now: Ms) {
+    fn add_viewer(&mut self, socket: Socket, now: Ms) {
         let conn = self.node.new_connection_id();
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "accepted");
-        if self.add(conn, socket).is_ok() {
+        if self.add_socket(conn, socket).is_ok() {
             self.node.viewer_accepted(conn, now);
-            // Its first request is often there with it.
-            self.queue(conn);
-            // Room is made at once, and not only after all that come in.
-            self.perform();
+            // The first request has often arrived with the connection.
+            self.queue_for_reading(conn);
+            // Closes a surplus connection now, and not only after the whole batch has been accepted.
+            self.perform_actions();
         }
     }
 
-    fn add(&mut self, conn: ConnectionId, mut socket: Socket) -> io::Result<()> {
+    fn add_socket(&mut self, conn: ConnectionId, mut socket: Socket) -> io::Result<()> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut socket.stream, Token(conn.0 as usize), interest)?;
-        self.viewers += usize::from(socket.side == Side::Viewer);
-        self.open.insert(conn, socket);
+        self.viewer_count += usize::from(socket.peer_role == PeerRole::Viewer);
+        self.sockets.insert(conn, socket);
         Ok(())
     }
 
-    fn hear_datagrams(&mut self) {
-        for _ in 0..TURN {
-            let Some((from, bytes)) = self.names.next() else { break };
+    fn receive_datagrams(&mut self) {
+        for _ in 0..MAX_BATCH {
+            let Some((from, bytes)) = self.name_service.receive() else { break };
             self.node.name_service_datagram(from, bytes, self.clock.now());
         }
         let Some(peers) = &mut self.peers else { return };
-        for _ in 0..TURN {
-            let Some((from, bytes)) = peers.next() else { break };
+        for _ in 0..MAX_BATCH {
+            let Some((from, bytes)) = peers.receive() else { break };
             self.node.peer_datagram(from, bytes, self.clock.now());
         }
     }
 
-    // ---- what the core says ----
+    // ---- actions of the core ----
 
-    /// Does what the core says, and what it says to what comes of that at once.
-    fn perform(&mut self) {
+    /// Performs the core's actions, and those that follow from them, until there are none left.
+    fn perform_actions(&mut self) {
         loop {
-            let dos = self.node.take_actions();
-            if dos.is_empty() {
+            let actions = self.node.take_actions();
+            if actions.is_empty() {
                 return;
             }
-            dos.into_iter().for_each(|what| self.perform_one(what));
+            actions.into_iter().for_each(|action| self.perform_action(action));
         }
     }
 
-    fn perform_one(&mut self, what: IoAction) {
-        match what {
+    fn perform_action(&mut self, action: IoAction) {
+        match action {
             IoAction::Connect { conn, address } => {
                 tracing::trace!(target: "walnutline::bytes", conn = conn.0, "connect {address}");
-                if let Err(e) = Socket::connect(address).and_then(|socket| self.add(conn, socket)) {
-                    self.node.connection_closed(conn, connecting_ended(&e), self.clock.now());
+                if let Err(e) = Socket::connect(address).and_then(|socket| self.add_socket(conn, socket)) {
+                    self.node.connection_closed(conn, connect_error_end(&e), self.clock.now());
                 }
             }
             IoAction::Write { conn, bytes } => self.write(conn, &bytes),
-            IoAction::OfferSetup { id, attempt: no } => self.setup(Held { id, no, since: self.clock.now() }),
-            IoAction::CloseIfIdle { conn } => self.retire(conn),
+            IoAction::OfferSetup { id, attempt } => {
+                self.try_setup(HeldSetup { id, attempt, since: self.clock.now() })
+            }
+            IoAction::CloseIfIdle { conn } => self.close_if_idle(conn),
             IoAction::Close { conn } => {
                 tracing::trace!(target: "walnutline::bytes", conn = conn.0, "close");
-                if let Some(socket) = self.remove(conn) {
-                    socket.shut(Shutdown::Both);
+                if let Some(socket) = self.remove_socket(conn) {
+                    socket.shutdown(Shutdown::Both);
                 }
             }
             IoAction::SendListQuery { to, bytes } => {
-                // A question that is lost is asked again.
-                let _ = self.names.socket.send_to(&bytes, to);
+                // The core repeats queries that are lost.
+                let _ = self.name_service.socket.send_to(&bytes, to);
             }
             IoAction::SendPeerReports { to, bytes } => {
                 if let Some(peers) = &self.peers {
@@ -351,127 +360,136 @@
                 }
             }
             IoAction::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
-            IoAction::Exit { at_once } => self.exit = Some(at_once),
+            IoAction::Exit { at_once } => self.requested_exit = Some(at_once),
         }
     }
 
-    /// A SETUP goes out only for a viewer who is there. Its close or its cancel may be known to the kernel while
-    /// the core does not know of it.
-    fn setup(&mut self, held: Held) {
+    /// Sends a SETUP, but only for a viewer that is still connected. The kernel may hold the viewer's close or its
+    /// cancellation while the core has not read it, so the SETUP is held back, for a limited time, as long as data from
+    /// the viewer is unread.
+    fn try_setup(&mut self, setup: HeldSetup) {
         let now = self.clock.now();
-        let Some((viewer, conn)) = self.node.offered_setup_connections(held.id, held.no) else { return };
-        let peer = self.open.get(&viewer).map_or(Peer::Gone, Socket::peer);
-        if peer == Peer::Unheard && now - held.since < limits::MAX_SETUP_HOLD {
-            self.queue(viewer);
-            return self.held.push(held);
+        let Some((viewer, conn)) = self.node.offered_setup_connections(setup.id, setup.attempt) else {
+            return;
+        };
+        let viewer_state = self.sockets.get(&viewer).map_or(PeerState::Closed, Socket::peer_state);
+        if viewer_state == PeerState::UnreadData && now - setup.since < limits::MAX_SETUP_HOLD {
+            self.queue_for_reading(viewer);
+            return self.held_setups.push(setup);
         }
-        if peer == Peer::Gone {
-            self.remove(viewer);
+        if viewer_state == PeerState::Closed {
+            self.remove_socket(viewer);
             return self.node.connection_closed(viewer, ConnectionEnd::Closed, now);
         }
-        if self.open.get(&conn).is_some_and(Socket::is_behind) {
-            self.node.setup_blocked(held.id, held.no, now);
-        } else if let Some(bytes) = self.node.send_setup(held.id, held.no, now) {
+        if self.sockets.get(&conn).is_some_and(Socket::has_backlog) {
+            self.node.setup_blocked(setup.id, setup.attempt, now);
+        } else if let Some(bytes) = self.node.send_setup(setup.id, setup.attempt, now) {
             self.write(conn, &bytes);
         }
     }
 
-    fn try_held(&mut self) {
-        std::mem::take(&mut self.held).into_iter().for_each(|held| self.setup(held));
-        self.perform();
+    fn retry_held_setups(&mut self) {
+        std::mem::take(&mut self.held_setups).into_iter().for_each(|setup| self.try_setup(setup));
+        self.perform_actions();
     }
 
-    /// Closes a viewer's connection on which nothing is open, unless something is on its way.
-    fn retire(&mut self, conn: ConnectionId) {
+    /// Closes a viewer's connection without open requests or sessions, unless data is in transit in either direction.
+    fn close_if_idle(&mut self, conn: ConnectionId) {
         let now = self.clock.now();
-        let Some(socket) = self.open.get(&conn) else { return };
-        if socket.peer() == Peer::Unheard || socket.is_behind() {
-            self.queue(conn);
+        let Some(socket) = self.sockets.get(&conn) else { return };
+        if socket.peer_state() == PeerState::UnreadData || socket.has_backlog() {
+            self.queue_for_reading(conn);
             return self.node.connection_in_use(conn, now);
         }
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "retire");
-        socket.shut(Shutdown::Both);
-        self.remove(conn);
+        socket.shutdown(Shutdown::Both);
+        self.remove_socket(conn);
         self.node.connection_closed(conn, ConnectionEnd::Closed, now);
     }
 
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        let Some(socket) = self.open.get_mut(&conn) else { return };
+        let Some(socket) = self.sockets.get_mut(&conn) else { return };
         tracing::trace!(target: "walnutline::bytes", conn = conn.0, "out {}", bytes.escape_ascii());
-        let behind = socket.is_behind();
+        let had_backlog = socket.has_backlog();
         if !socket.write(bytes) {
-            tracing::debug!(target: "walnutline::mode", "connection {} broke or is not read: shut", conn.0);
-            // What it still holds is read before its end.
-            self.queue(conn);
-        } else if !behind && socket.is_behind() {
-            self.behind.push(conn);
+            tracing::debug!(
+                target: "walnutline::mode",
+                "connection {} shut down: write failed or backlog limit exceeded",
+                conn.0
+            );
+            // Data already received is read before the end is reported.
+            self.queue_for_reading(conn);
+        } else if !had_backlog && socket.has_backlog() {
+            self.backlogged.push(conn);
         }
     }
 
-    fn catch_up(&mut self) {
-        for conn in std::mem::take(&mut self.behind) {
-            let Some(socket) = self.open.get_mut(&conn) else { continue };
-            if !socket.catch_up() {
-                self.queue(conn);
-            } else if socket.is_behind() {
-                self.behind.push(conn);
+    fn flush_backlogs(&mut self) {
+        for conn in std::mem::take(&mut self.backlogged) {
+            let Some(socket) = self.sockets.get_mut(&conn) else { continue };
+            if !socket.flush_backlog() {
+                self.queue_for_reading(conn);
+            } else if socket.has_backlog() {
+                self.backlogged.push(conn);
             }
         }
     }
 
-    // ---- the end ----
+    // ---- end of the process ----
 
-    /// Ends the process, unless something that came in is unheard or something written has not gone out: what
-    /// is read by nobody turns the close into a reset, which destroys an answer on its way as well.
-    fn exit_if_settled(&mut self) {
-        let Some(at_once) = self.exit.take() else { return };
+    /// Ends the process if the core has requested it, unless received data is still unread or written data has not been
+    /// sent. Closing a connection with unread data sends a reset, which can also destroy an answer in transit.
+    fn exit_if_drained(&mut self) {
+        let Some(at_once) = self.requested_exit.take() else { return };
         if !at_once {
-            // The poll may not have told of it yet, and those that found no place have waited for one. What is taken in
-            // now is heard before the core is asked again.
-            self.coming = true;
-            let came = self.accept(usize::MAX);
-            let heard = |s: &Socket| s.peer() != Peer::Unheard;
-            let settled = self.held.is_empty() && self.behind.is_empty() && self.unread.is_empty();
-            if came || !settled || !self.open.values().all(heard) {
+            // The poll may not have reported new connections yet, and others were left waiting because of the limit.
+            // Requests on connections accepted here are processed before the core is asked about the exit again.
+            self.accept_pending = true;
+            let accepted = self.accept_viewers(usize::MAX);
+            let all_read = |s: &Socket| s.peer_state() != PeerState::UnreadData;
+            let drained =
+                self.held_setups.is_empty() && self.backlogged.is_empty() && self.read_queue.is_empty();
+            if accepted || !drained || !self.sockets.values().all(all_read) {
                 return;
             }
         }
-        self.end(at_once);
+        self.exit(at_once);
     }
 
-    /// Ends the process. Viewers' connections are closed towards them and read to their end first, as long as the kill
-    /// leaves time for it: closing one with something unread would be a reset, which may destroy what is on its way.
-    fn end(&mut self, at_once: bool) -> ! {
+    /// Ends the process. Unless `at_once`, viewers' connections are first shut down for writing and read to their end,
+    /// within the time that the platform leaves before it kills the process: closing one with unread data would send a
+    /// reset, which can destroy what is still in transit to the viewer.
+    fn exit(&mut self, at_once: bool) -> ! {
         let _ = socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both);
-        let mut last: Vec<Socket> =
-            self.open.drain().map(|(_, s)| s).filter(|s| s.side == Side::Viewer).collect();
-        last.iter().for_each(|s| s.shut(Shutdown::Write));
-        let until = self.clock.now() + if at_once { 0.0 } else { limits::SHUTDOWN_READ_TIMEOUT };
-        let mut events = Events::with_capacity(EVENTS);
+        let mut viewers: Vec<Socket> =
+            self.sockets.drain().map(|(_, s)| s).filter(|s| s.peer_role == PeerRole::Viewer).collect();
+        viewers.iter().for_each(|s| s.shutdown(Shutdown::Write));
+        let deadline = self.clock.now() + if at_once { 0.0 } else { limits::SHUTDOWN_READ_TIMEOUT };
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         let mut buffer = [0; limits::READ_BUFFER_BYTES];
         loop {
-            last.retain_mut(|s| {
-                // One that sends without end is left to its reset.
-                let ended = (0..TURN).find_map(|_| match s.read(&mut buffer) {
-                    Heard::Bytes(_) => None,
-                    Heard::Nothing => Some(false),
-                    Heard::End(_) => Some(true),
+            viewers.retain_mut(|s| {
+                // Bounded: a viewer that never stops sending gets the reset.
+                let ended = (0..MAX_BATCH).find_map(|_| match s.read(&mut buffer) {
+                    ReadResult::Bytes(_) => None,
+                    ReadResult::WouldBlock => Some(false),
+                    ReadResult::Ended(_) => Some(true),
                 });
                 ended != Some(true)
             });
-            let left = until - self.clock.now();
-            if last.is_empty() || left <= 0.0 {
+            let remaining = deadline - self.clock.now();
+            if viewers.is_empty() || remaining <= 0.0 {
                 break;
             }
-            let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(left / 1_000.0)));
+            let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(remaining / 1_000.0)));
         }
         tracing::info!(target: "walnutline::mode", "stopped {}", self.node.request_counts());
         std::process::exit(0);
     }
 }
 
-/// What the failure to open a connection tells of its server.
-fn connecting_ended(e: &io::Error) -> ConnectionEnd {
+/// Classifies the failure to open a connection by what it says about the server.
+fn connect_error_end(e: &io::Error) -> ConnectionEnd {
     match e.raw_os_error() {
         Some(libc::ECONNREFUSED) => ConnectionEnd::Refused,
         Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => ConnectionEnd::Unopened,
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -1,10 +1,10 @@
-//! Sockets, threads and signals round the core. It decides nothing.
+//! Sockets, threads and signals around the core. All decisions are made in the core.
 //!
 //! - [`hub`]: the one thread that owns the core and polls all sockets.
-//! - [`socket`]: a connection, read and written without waiting.
+//! - [`socket`]: a non-blocking TCP connection with its write backlog.
 //!
-//! Signals and the reading of a configuration have threads of their own: neither waits for the other, or holds up
-//! the hub.
+//! Signals are received on the thread that calls [`run`], and configuration files are read on a thread of their own,
+//! so that neither delays the other or the hub.
 mod hub;
 mod socket;
 
@@ -19,100 +19,107 @@
 
 use crate::core::Node;
 
-/// What signals lead to.
-pub(crate) enum News {
-    Configured(Box<configuration::Configuration>),
-    /// When the signal came.
+/// A message from the other threads to the hub.
+pub(crate) enum HubMessage {
+    /// A configuration that was read after SIGHUP.
+    Reconfigure(Box<configuration::Configuration>),
+    /// SIGTERM or SIGINT.
     Stop {
+        /// When the signal arrived.
         at: Ms,
     },
 }
 
-/// Unix milliseconds that never run backwards: the wall clock is read once, then the steady one counts.
+/// A clock of Unix milliseconds that never goes back: the wall clock is read once, at the start, and a monotonic clock
+/// counts from there.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
-    started: Instant,
-    unix: Ms,
+    started_at: Instant,
+    started_unix_ms: Ms,
 }
 
 impl Clock {
     fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: unix.as_secs_f64() * 1_000.0 }
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: Instant::now(), started_unix_ms: unix_time.as_secs_f64() * 1_000.0 }
     }
 
+    /// Returns the current time in Unix milliseconds.
     pub fn now(&self) -> Ms {
-        self.unix + self.started.elapsed().as_secs_f64() * 1_000.0
+        self.started_unix_ms + self.started_at.elapsed().as_secs_f64() * 1_000.0
     }
 }
 
-/// What a node is told when it starts.
-pub struct Start {
-    pub listen: SocketAddr,
-    pub file: std::path::PathBuf,
+/// What the command line passes to a node at its start.
+pub struct StartOptions {
+    /// Address that viewers connect to.
+    pub listen_address: SocketAddr,
+    /// File that the configuration is read from, at the start and on every SIGHUP.
+    pub configuration_path: std::path::PathBuf,
 }
 
-fn load(start: &Start) -> Result<configuration::Configuration, String> {
-    let name = start.file.display();
-    let text = std::fs::read_to_string(&start.file).map_err(|e| format!("{name}: {e}"))?;
-    configuration::parse(&text).map_err(|e| format!("{name}: {e}"))
+fn load_configuration(options: &StartOptions) -> Result<configuration::Configuration, String> {
+    let path = options.configuration_path.display();
+    let text = std::fs::read_to_string(&options.configuration_path).map_err(|e| format!("{path}: {e}"))?;
+    configuration::parse(&text).map_err(|e| format!("{path}: {e}"))
 }
 
-/// Tells the hub.
+/// Sends messages to the hub and wakes it from its poll.
 #[derive(Clone)]
-struct ToHub {
-    news: Sender<News>,
+struct HubSender {
+    messages: Sender<HubMessage>,
     waker: Arc<Waker>,
 }
 
-impl ToHub {
-    fn tell(&self, news: News) {
-        if self.news.send(news).is_ok() {
+impl HubSender {
+    fn send(&self, message: HubMessage) {
+        if self.messages.send(message).is_ok() {
             let _ = self.waker.wake();
         }
     }
 }
 
-/// Runs a node until it is told to stop and owes nothing any more.
-pub fn run(start: Start) -> Result<(), String> {
+/// Runs a node until the process ends: after SIGTERM or SIGINT, the hub exits once every open request has been
+/// answered. Returns an error when the node cannot start.
+pub fn run(options: StartOptions) -> Result<(), String> {
     let clock = Clock::start();
-    // First of all: unheard, a signal would end the process.
+    // Registered first: without a handler, a signal would end the process.
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGHUP,
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
     ])
     .map_err(|e| format!("signals: {e}"))?;
-    let told = load(&start)?;
-    let peers = told.peer_listen_address.and_then(|at| match UdpSocket::bind(at) {
+    let configuration = load_configuration(&options)?;
+    let peers = configuration.peer_listen_address.and_then(|at| match UdpSocket::bind(at) {
         Ok(socket) => Some(socket),
-        // Without them it serves all the same.
+        // The node also works without the reports of other nodes.
         Err(e) => {
             tracing::warn!("datagrams of other nodes: {at}: {e}");
             None
         }
     });
-    let node = Node::new(told, clock.now())?;
-    let bound = socket::listen(start.listen).and_then(|l| Ok((l.local_addr()?, l)));
-    let (address, listener) = bound.map_err(|e| format!("{}: {e}", start.listen))?;
-    let names =
-        UdpSocket::bind(SocketAddr::from(([0, 0, 0, 0], 0))).map_err(|e| format!("datagrams: {e}"))?;
-    let polled = || -> std::io::Result<_> {
+    let node = Node::new(configuration, clock.now())?;
+    let bound = socket::listen(options.listen_address).and_then(|l| Ok((l.local_addr()?, l)));
+    let (address, listener) = bound.map_err(|e| format!("{}: {e}", options.listen_address))?;
+    let name_service = UdpSocket::bind(SocketAddr::from(([0, 0, 0, 0], 0)))
+        .map_err(|e| format!("socket for the name service: {e}"))?;
+    let create_hub = || -> std::io::Result<_> {
         let poll = Poll::new()?;
-        let waker = Arc::new(Waker::new(poll.registry(), hub::SIGNALS)?);
-        Ok((hub::Hub::new(node, clock, poll, listener, names, peers)?, waker))
+        let waker = Arc::new(Waker::new(poll.registry(), hub::WAKER_TOKEN)?);
+        Ok((hub::Hub::new(node, clock, poll, listener, name_service, peers)?, waker))
     };
-    let (hub, waker) = polled().map_err(|e| format!("poll: {e}"))?;
-    let (news, heard) = channel();
-    let to_hub = ToHub { news, waker };
-    thread("hub", move || hub.run(&heard))?;
-    let (reload, reloads) = channel();
-    let to = to_hub.clone();
-    thread("configuration", move || reload_all(&start, &reloads, &to))?;
+    let (hub, waker) = create_hub().map_err(|e| format!("poll: {e}"))?;
+    let (messages, hub_messages) = channel();
+    let hub_sender = HubSender { messages, waker };
+    spawn_thread("hub", move || hub.run(&hub_messages))?;
+    let (reload, reload_requests) = channel();
+    let reload_sender = hub_sender.clone();
+    spawn_thread("configuration", move || serve_reloads(&options, &reload_requests, &reload_sender))?;
     tracing::info!(target: "walnutline::mode", listen = %address, "node up");
     for signal in signals.forever() {
         if signal != signal_hook::consts::SIGHUP {
-            to_hub.tell(News::Stop { at: clock.now() });
+            hub_sender.send(HubMessage::Stop { at: clock.now() });
         } else if reload.send(()).is_err() {
             break;
         }
@@ -120,16 +127,16 @@
     Ok(())
 }
 
-fn thread(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), String> {
-    let built = std::thread::Builder::new().name(name.into()).stack_size(256 * 1024).spawn(run);
-    built.map(drop).map_err(|e| format!("thread {name}: {e}"))
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), String> {
+    let spawned = std::thread::Builder::new().name(name.into()).stack_size(256 * 1024).spawn(run);
+    spawned.map(drop).map_err(|e| format!("thread {name}: {e}"))
 }
 
-/// Reads the configuration again, one time after the other: the last reading is told last.
-fn reload_all(start: &Start, reloads: &Receiver<()>, hub: &ToHub) {
-    for () in reloads {
-        match load(start) {
-            Ok(told) => hub.tell(News::Configured(Box::new(told))),
+/// Reads the configuration file once for each request, in order, so that the hub receives the latest content last.
+fn serve_reloads(options: &StartOptions, requests: &Receiver<()>, hub: &HubSender) {
+    for () in requests {
+        match load_configuration(options) {
+            Ok(configuration) => hub.send(HubMessage::Reconfigure(Box::new(configuration))),
             Err(e) => tracing::error!("the configuration stays as it was: {e}"),
         }
     }
--- a/crates/node/src/edge/socket.rs
+++ b/crates/node/src/edge/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP connection as the hub holds it: read and written without waiting, polled by edges.
+//! A non-blocking TCP connection with a write backlog, made for edge-triggered polling by the hub.
 use crate::actions::ConnectionEnd;
 use crate::limits;
 use mio::net::{TcpListener, TcpStream};
@@ -6,56 +6,66 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 
-/// Whose connection it is.
+/// Who is at the other end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Side {
+pub(crate) enum PeerRole {
     Viewer,
     Server,
 }
 
+/// One TCP connection to a viewer or a server.
 pub(crate) struct Socket {
     pub stream: TcpStream,
-    pub side: Side,
-    /// It has not come up yet.
-    pub opening: bool,
-    /// It is among those that are to be read.
-    pub queued: bool,
-    /// Writing failed: it is over once what it still holds has been read.
+    pub peer_role: PeerRole,
+    /// The connection has not been established yet.
+    pub connecting: bool,
+    /// The connection is in the hub's read queue.
+    pub queued_for_reading: bool,
+    /// A write failed or the backlog overflowed. The connection ends once everything that was received has been read.
     broken: bool,
-    /// What the socket has not taken yet.
+    /// Bytes that the kernel has not accepted yet.
     backlog: Vec<u8>,
 }
 
-/// What is known of a peer at this instant, whatever was read.
+/// State of the peer as the kernel knows it at this instant, ahead of what has been read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Peer {
-    /// There, and all that it sent has been heard.
-    Quiet,
-    /// Something that it sent is not heard yet.
-    Unheard,
-    /// It has closed, or its connection broke.
-    Gone,
+pub(crate) enum PeerState {
+    /// Connected, and everything that it sent has been read.
+    Idle,
+    /// Something that it sent has not been read yet.
+    UnreadData,
+    /// It has closed, or the connection broke.
+    Closed,
 }
 
-/// What one read brought.
-pub(crate) enum Heard {
+/// Result of one read.
+pub(crate) enum ReadResult {
+    /// Number of bytes read.
     Bytes(usize),
-    Nothing,
-    End(ConnectionEnd),
+    WouldBlock,
+    Ended(ConnectionEnd),
 }
 
 impl Socket {
-    pub fn accepted(stream: TcpStream) -> Socket {
+    /// Wraps a connection that a viewer opened.
+    pub fn from_accepted(stream: TcpStream) -> Socket {
         let _ = stream.set_nodelay(true);
-        Socket::new(stream, Side::Viewer)
+        Socket::new(stream, PeerRole::Viewer)
     }
 
-    fn new(stream: TcpStream, side: Side) -> Socket {
-        let opening = side == Side::Server;
-        Socket { stream, side, opening, queued: false, broken: false, backlog: Vec::new() }
+    fn new(stream: TcpStream, peer_role: PeerRole) -> Socket {
+        let connecting = peer_role == PeerRole::Server;
+        Socket {
+            stream,
+            peer_role,
+            connecting,
+            queued_for_reading: false,
+            broken: false,
+            backlog: Vec::new(),
+        }
     }
 
-    /// Begins to open a connection to a server.
+    /// Starts to open a connection to a server, without waiting for it.
     pub fn connect(address: SocketAddr) -> io::Result<Socket> {
         let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -65,95 +75,102 @@
             Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        Ok(Socket::new(TcpStream::from_std(socket.into()), Side::Server))
+        Ok(Socket::new(TcpStream::from_std(socket.into()), PeerRole::Server))
     }
 
-    /// Whether it has come up by now.
-    pub fn came_up(&mut self) -> io::Result<bool> {
+    /// Returns whether the connection has been established by now, or the error that it failed with.
+    pub fn check_connected(&mut self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
         }
         match self.stream.peer_addr() {
-            Ok(_) => self.opening = false,
+            Ok(_) => self.connecting = false,
             Err(e) if e.kind() == ErrorKind::NotConnected => {}
             Err(e) => return Err(e),
         }
-        Ok(!self.opening)
+        Ok(!self.connecting)
     }
 
-    pub fn read(&mut self, buffer: &mut [u8]) -> Heard {
+    /// Reads what is available into `buffer`.
+    pub fn read(&mut self, buffer: &mut [u8]) -> ReadResult {
         loop {
             match self.stream.read(buffer) {
-                Ok(0) => return Heard::End(ConnectionEnd::Closed),
-                Ok(n) => return Heard::Bytes(n),
+                Ok(0) => return ReadResult::Ended(ConnectionEnd::Closed),
+                Ok(n) => return ReadResult::Bytes(n),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock && !self.broken => return Heard::Nothing,
-                Err(_) => return Heard::End(ConnectionEnd::Closed),
+                Err(e) if e.kind() == ErrorKind::WouldBlock && !self.broken => {
+                    return ReadResult::WouldBlock;
+                }
+                Err(_) => return ReadResult::Ended(ConnectionEnd::Closed),
             }
         }
     }
 
-    /// What the peer has done by now. Its end may be known to the kernel before it is read.
-    pub fn peer(&self) -> Peer {
+    /// Peeks at the connection: the kernel may know of data or of a close that has not been read yet.
+    pub fn peer_state(&self) -> PeerState {
         loop {
             match self.stream.peek(&mut [0; 1]) {
-                Ok(0) => return Peer::Gone,
-                Ok(_) => return Peer::Unheard,
+                Ok(0) => return PeerState::Closed,
+                Ok(_) => return PeerState::UnreadData,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock && !self.broken => return Peer::Quiet,
-                Err(_) => return Peer::Gone,
+                Err(e) if e.kind() == ErrorKind::WouldBlock && !self.broken => return PeerState::Idle,
+                Err(_) => return PeerState::Closed,
             }
         }
     }
 
-    /// Writes after what waits already; whether the connection still serves. One whose peer does not read, or that
-    /// broke, is shut: its end is read like any other.
+    /// Writes `bytes` after the backlog and returns whether the connection is still usable. A connection that broke,
+    /// or whose backlog exceeds its limit, is shut down; reading then reports its end.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
-        let taken = if self.backlog.is_empty() { self.take(bytes) } else { Ok(0) };
-        match taken {
+        let written = if self.backlog.is_empty() { self.try_write(bytes) } else { Ok(0) };
+        match written {
             Ok(n) if self.backlog.len() + bytes.len() - n <= limits::MAX_BACKLOG_BYTES => {
                 self.backlog.extend_from_slice(&bytes[n..]);
             }
-            _ => self.breaks(),
+            _ => self.abort(),
         }
         !self.broken
     }
 
-    /// Writes what waits; whether the connection still serves.
-    pub fn catch_up(&mut self) -> bool {
+    /// Writes the backlog as far as the kernel accepts it and returns whether the connection is still usable.
+    pub fn flush_backlog(&mut self) -> bool {
         let backlog = std::mem::take(&mut self.backlog);
-        match self.take(&backlog) {
+        match self.try_write(&backlog) {
             Ok(n) => self.backlog = backlog[n..].to_vec(),
-            Err(_) => self.breaks(),
+            Err(_) => self.abort(),
         }
         !self.broken
     }
 
-    pub fn is_behind(&self) -> bool {
+    /// Returns whether bytes are waiting to be written.
+    pub fn has_backlog(&self) -> bool {
         !self.backlog.is_empty()
     }
 
-    fn take(&mut self, bytes: &[u8]) -> io::Result<usize> {
+    /// Returns how many bytes the kernel accepted.
+    fn try_write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         loop {
             match self.stream.write(bytes) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(0),
-                done => return done,
+                result => return result,
             }
         }
     }
 
-    fn breaks(&mut self) {
-        self.shut(Shutdown::Both);
+    fn abort(&mut self) {
+        self.shutdown(Shutdown::Both);
         self.broken = true;
         self.backlog = Vec::new();
     }
 
-    pub fn shut(&self, how: Shutdown) {
+    /// Shuts down one or both directions. Errors are ignored: the connection may have ended already.
+    pub fn shutdown(&self, how: Shutdown) {
         let _ = self.stream.shutdown(how);
     }
 }
 
+/// Opens a non-blocking listener with address reuse.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
