--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -19,7 +19,7 @@
 const RETRY_INTERVAL: Ms = 10.0;
 /// Pause before connections are accepted again after `accept` has failed, usually for want of a descriptor.
 const ACCEPT_PAUSE: Ms = 20.0;
-/// Connections accepted, and datagrams received on one socket, before other work is done.
+/// Connections accepted, and datagrams received on one socket, before other work is done, so that none is starved.
 const MAX_BATCH: usize = 64;
 /// Events returned by one poll.
 const EVENT_CAPACITY: usize = 256;
@@ -457,9 +457,9 @@
         self.exit(at_once);
     }
 
-    /// Ends the process. Unless `at_once`, viewers' connections are first shut down for writing and read to their end,
-    /// within the time that the platform leaves before it kills the process: closing one with unread data would send a
-    /// reset, which can destroy what is still in transit to the viewer.
+    /// Ends the process. Viewers' connections are first shut down for writing and read: closing one with unread data would
+    /// send a reset, which can destroy what is still in transit to the viewer. They are read to their end within the time
+    /// that the platform leaves before it kills the process; with `at_once`, only what is already there is read.
     fn exit(&mut self, at_once: bool) -> ! {
         let _ = socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both);
         let mut viewers: Vec<Socket> =
