--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -1,5 +1,8 @@
-//! The one thread that owns the live desk. Coroutines send it events by a channel; it hands out what the desk
-//! answers: messages to boxes' writers, answers to viewers' connections.
+//! The thread that owns the session manager.
+//!
+//! Coroutines and other threads send it a [`HubEvent`] over a channel. After each batch of events the hub performs
+//! the session manager's actions: it opens and closes connections to boxes, passes requests to their writers and
+//! sends replies to viewers' connections.
 use crate::boxes::{self, BoxConnection, OutgoingMessage};
 use crate::clock::Clock;
 use crate::viewer::ConnectionMessage;
@@ -19,22 +22,28 @@
 };
 use walnutline_gate::claims::SessionClaims;
 
-/// Events handled before what they lead to goes out.
-const ROUND: usize = 256;
+/// Maximum number of events, after the first, that are handled before the resulting actions are performed.
+const MAX_BATCH_EVENTS: usize = 256;
 
-/// What the front keeps with a session.
+/// How often the counts of differences from the catalogue are passed on to be written.
+const DIFFERENCES_INTERVAL_MS: f64 = 1_000.0;
+
+/// Longest wait for an event.
+const MAX_WAIT_MS: f64 = 60_000.0;
+
+/// What the front stores with a session; the session manager passes it through unread.
 pub struct SessionContext {
     pub id: SessionId,
     pub title: String,
-    /// Position of its service group.
+    /// Index of the session's service group.
     pub group_index: usize,
-    /// When its request was read.
+    /// When the request was received, in Unix milliseconds.
     pub received_at: f64,
-    /// Its title's true rates by rung, where they are reckoned with.
+    /// The title's own rate at each rung, where the catalogue has them and the settings use them.
     pub title_rates: Option<Arc<[f64]>>,
-    /// Where its answer goes.
+    /// The viewer's connection, for the reply.
     pub reply_to: may::sync::mpsc::Sender<ConnectionMessage>,
-    /// The session's token for the box that it was last minted for.
+    /// The last session token minted, and the box that it is for.
     minted: Mutex<Option<(ServerId, String)>>,
 }
 
@@ -42,27 +51,28 @@
     pub fn new(
         id: SessionId,
         title: String,
-        group: usize,
-        at: f64,
-        rates: Option<Arc<[f64]>>,
+        group_index: usize,
+        received_at: f64,
+        title_rates: Option<Arc<[f64]>>,
         reply_to: may::sync::mpsc::Sender<ConnectionMessage>,
     ) -> Self {
         SessionContext {
             id,
             title,
-            group_index: group,
-            received_at: at,
-            title_rates: rates,
+            group_index,
+            received_at,
+            title_rates,
             reply_to,
             minted: Mutex::new(None),
         }
     }
 
-    /// The session's token at a box: minted once for the SETUP and its answer alike.
+    /// The session's token for a box. SETUP and the manifest get the same token, so it is minted once for each box.
+    /// `None` while no session key is in force.
     pub fn session_token(&self, shared: &Shared, server: ServerId, now: f64) -> Option<String> {
         let mut minted = self.minted.lock().unwrap_or_else(|e| e.into_inner());
-        if let Some((at, token)) = &*minted {
-            if *at == server {
+        if let Some((minted_for, token)) = &*minted {
+            if *minted_for == server {
                 return Some(token.clone());
             }
         }
@@ -78,94 +88,103 @@
     }
 }
 
+/// An event for the hub. `conn` numbers the connections to a box, as [`IoAction::Connect`] does.
 pub enum HubEvent {
+    /// A viewer's request was authorized.
     SessionRequested {
         request: SessionRequest,
         context: SessionContext,
-        /// The catalogue's version that the request is answered by.
+        /// The catalogue's version that the whole request is handled with.
         catalogue: Option<Arc<Version>>,
     },
+    /// The viewer is gone before it received its answer.
     ViewerLeft(SessionId),
-    /// A renewed manifest is asked for.
-    ManifestRequested {
-        id: SessionId,
-        reply_to: may::sync::mpsc::Sender<ConnectionMessage>,
-    },
-    ConnectionOpened {
-        server: ServerId,
-        conn: u64,
-        connection: BoxConnection,
-    },
-    ConnectionFailed {
-        server: ServerId,
-        conn: u64,
-    },
+    /// A viewer asked for the current manifest of its session.
+    ManifestRequested { id: SessionId, reply_to: may::sync::mpsc::Sender<ConnectionMessage> },
+    /// A connection to a box is open.
+    ConnectionOpened { server: ServerId, conn: u64, connection: BoxConnection },
+    /// A connection to a box could not be opened.
+    ConnectionFailed { server: ServerId, conn: u64 },
+    /// An open connection to a box ended.
     ConnectionClosed {
         server: ServerId,
         conn: u64,
+        /// CSeq of the last request that the writer had begun to write; no later one reached the box.
         last_cseq: u32,
     },
-    MessageReceived {
-        server: ServerId,
-        conn: u64,
-        message: ServerMessage,
-    },
+    /// A message of a box was received.
+    MessageReceived { server: ServerId, conn: u64, message: ServerMessage },
+    /// An event of the list of boxes was received. Each entry comes with the box's media URL.
     BoxList {
+        /// Whether the event holds the complete list, and not only changed entries.
         full: bool,
         entries: Vec<(ServerEndpoint, String)>,
     },
 }
 
-/// A session that plays, as its manifest is made of it.
+/// A session that plays, with what its manifest is built from.
 pub struct PlayingSession {
     pub context: Arc<SessionContext>,
     pub server: ServerId,
     pub rung: u8,
+    /// Base URL of the box's media.
     pub media_url: Arc<str>,
 }
 
+/// The final reply to a viewer's request.
 pub enum SessionReply {
+    /// The session plays; the viewer gets its manifest.
     Playing(PlayingSession),
+    /// No box can take the session now. `retry_after` is in milliseconds.
     Busy { retry_after: Option<f64> },
+    /// Setting up failed, and a SETUP may have taken effect, so the session is not set up elsewhere.
     TornDown,
+    /// The session whose manifest was requested has ended.
     Ended,
 }
 
 struct Hub {
     shared: Arc<Shared>,
-    live: SessionManager<SessionContext>,
-    media: HashMap<ServerId, Arc<str>>,
-    lines: HashMap<ServerId, (u64, BoxConnection)>,
+    session_manager: SessionManager<SessionContext>,
+    /// Media URL of each box, from the list.
+    media_urls: HashMap<ServerId, Arc<str>>,
+    /// Open control connections with their numbers.
+    connections: HashMap<ServerId, (u64, BoxConnection)>,
     advisor: Option<RequestAdvisor>,
-    /// When differences were last handed over to be written, and whether there are others since.
-    differed: (f64, bool),
+    /// When counts of differences were last passed on, and whether requests were compared since.
+    differences_submitted: (f64, bool),
 }
 
-/// How often differences are handed over, in milliseconds.
-const DIFFER: f64 = 1_000.0;
-
+/// Starts the hub's thread.
 pub fn start(
     shared: Arc<Shared>,
-    news: Receiver<HubEvent>,
-    terms: PolicySettings,
-    waits: Timeouts,
+    events: Receiver<HubEvent>,
+    policy: PolicySettings,
+    timeouts: Timeouts,
     seed: u64,
 ) -> io::Result<()> {
-    let live = SessionManager::new(terms, waits, seed, shared.clock.now());
-    let advisor = shared.catalogue.as_ref().map(|k| RequestAdvisor::new(k.settings.probe_budget));
-    let mut hub =
-        Hub { shared, live, media: HashMap::new(), lines: HashMap::new(), advisor, differed: (0.0, false) };
+    let session_manager = SessionManager::new(policy, timeouts, seed, shared.clock.now());
+    let advisor = shared.catalogue.as_ref().map(|c| RequestAdvisor::new(c.settings.probe_budget));
+    let mut hub = Hub {
+        shared,
+        session_manager,
+        media_urls: HashMap::new(),
+        connections: HashMap::new(),
+        advisor,
+        differences_submitted: (0.0, false),
+    };
     std::thread::Builder::new().name("hub".into()).spawn(move || {
-        let _guard = Guard;
-        hub.run(news)
+        let _guard = AbortOnPanic;
+        hub.run(events)
     })?;
     Ok(())
 }
 
-/// Without its hub a front takes requests and answers none: better that the process ends and is started again.
-struct Guard;
+/// Ends the process when the hub's thread panics, so that it can be started again: without the hub, the front would
+/// accept requests and answer none.
+struct AbortOnPanic;
 
-impl Drop for Guard {
+impl Drop for AbortOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             tracing::error!("the hub broke; the front ends");
@@ -175,146 +194,150 @@
 }
 
 impl Hub {
-    fn run(&mut self, news: Receiver<HubEvent>) {
+    fn run(&mut self, events: Receiver<HubEvent>) {
         let clock: Clock = self.shared.clock;
         loop {
             let now = clock.now();
-            let wait = (self.live.next_call_at(now) - now).clamp(0.0, 60_000.0);
-            match news.recv_timeout(Duration::from_secs_f64(wait / 1_000.0)) {
+            let wait = (self.session_manager.next_call_at(now) - now).clamp(0.0, MAX_WAIT_MS);
+            match events.recv_timeout(Duration::from_secs_f64(wait / 1_000.0)) {
                 Ok(first) => {
-                    self.event(first, clock.now());
-                    for more in news.try_iter().take(ROUND) {
-                        self.event(more, clock.now());
+                    self.handle_event(first, clock.now());
+                    for event in events.try_iter().take(MAX_BATCH_EVENTS) {
+                        self.handle_event(event, clock.now());
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.ask_news(clock.now());
-            self.live.process_due(clock.now());
-            for what in self.live.take_actions() {
-                self.perform(what);
+            self.run_advisor(clock.now());
+            self.session_manager.process_due(clock.now());
+            for action in self.session_manager.take_actions() {
+                self.perform(action);
             }
         }
     }
 
-    fn event(&mut self, news: HubEvent, now: f64) {
-        match news {
-            HubEvent::SessionRequested { request: mut ask, context: ticket, catalogue: known } => {
-                if let Some(v) = known {
-                    self.advise(&v, &ask, &ticket, now);
+    fn handle_event(&mut self, event: HubEvent, now: f64) {
+        match event {
+            HubEvent::SessionRequested { mut request, context, catalogue } => {
+                if let Some(version) = catalogue {
+                    self.compare_with_catalogue(&version, &request, &context, now);
                 }
-                // What passed since it was read, in queues or in a stall, counts against its viewer's time.
-                ask.time_left -= now - ticket.received_at;
-                self.live.add_request(ticket.id, ask, ticket, now);
+                // Time spent in queues or in a stall since the request was received counts as waiting too.
+                request.time_left -= now - context.received_at;
+                self.session_manager.add_request(context.id, request, context, now);
             }
-            HubEvent::ViewerLeft(id) => self.live.viewer_left(id, now),
-            HubEvent::ManifestRequested { id, reply_to: to } => {
-                let plays = self.live.playing_session(id).and_then(|(server, rung, ticket)| {
-                    Some(PlayingSession {
-                        context: ticket,
-                        server,
-                        rung,
-                        media_url: self.media.get(&server)?.clone(),
-                    })
+            HubEvent::ViewerLeft(id) => self.session_manager.viewer_left(id, now),
+            HubEvent::ManifestRequested { id, reply_to } => {
+                let playing = self.session_manager.playing_session(id).and_then(|(server, rung, context)| {
+                    let media_url = self.media_urls.get(&server)?.clone();
+                    Some(PlayingSession { context, server, rung, media_url })
                 });
-                let _ = to.send(ConnectionMessage::Reply(
-                    id,
-                    plays.map_or(SessionReply::Ended, SessionReply::Playing),
-                ));
+                let reply = playing.map_or(SessionReply::Ended, SessionReply::Playing);
+                let _ = reply_to.send(ConnectionMessage::Reply(id, reply));
             }
-            HubEvent::ConnectionOpened { server, conn, connection: line } => {
-                if self.live.connection_opened(server, conn, now) {
-                    self.lines.insert(server, (conn, line));
+            HubEvent::ConnectionOpened { server, conn, connection } => {
+                if self.session_manager.connection_opened(server, conn, now) {
+                    self.connections.insert(server, (conn, connection));
                 } else {
-                    line.shut_down();
+                    connection.shut_down();
                 }
             }
-            HubEvent::ConnectionFailed { server, conn } => self.live.connection_failed(server, conn, now),
-            HubEvent::ConnectionClosed { server, conn, last_cseq: begun } => {
-                self.live.connection_closed(server, conn, begun, now);
-                if self.lines.get(&server).is_some_and(|(c, _)| *c == conn) {
-                    self.lines.remove(&server);
+            HubEvent::ConnectionFailed { server, conn } => {
+                self.session_manager.connection_failed(server, conn, now)
+            }
+            HubEvent::ConnectionClosed { server, conn, last_cseq } => {
+                self.session_manager.connection_closed(server, conn, last_cseq, now);
+                if self.connections.get(&server).is_some_and(|(c, _)| *c == conn) {
+                    self.connections.remove(&server);
                 }
             }
-            HubEvent::MessageReceived { server, conn, message: told } => {
-                self.live.message_received(server, conn, told, now)
+            HubEvent::MessageReceived { server, conn, message } => {
+                self.session_manager.message_received(server, conn, message, now)
             }
-            HubEvent::BoxList { full: whole, entries: lines } => {
-                let lines = lines.into_iter().map(|(line, media)| {
-                    self.media.insert(line.entry.id, media.into());
-                    line
+            HubEvent::BoxList { full, entries } => {
+                let endpoints = entries.into_iter().map(|(endpoint, media_url)| {
+                    self.media_urls.insert(endpoint.entry.id, media_url.into());
+                    endpoint
                 });
-                let lines = lines.collect();
-                if whole {
-                    self.live.replace_server_list(lines, now)
+                let endpoints = endpoints.collect();
+                if full {
+                    self.session_manager.replace_server_list(endpoints, now)
                 } else {
-                    self.live.update_servers(lines, now)
+                    self.session_manager.update_servers(endpoints, now)
                 }
             }
         }
     }
 
-    /// What the catalogue has to say of a request, and it of the catalogue.
-    fn advise(&mut self, v: &Version, ask: &SessionRequest, ticket: &SessionContext, now: f64) {
+    /// Records the request with the advisor and logs where it and the catalogue differ.
+    fn compare_with_catalogue(
+        &mut self,
+        version: &Version,
+        request: &SessionRequest,
+        context: &SessionContext,
+        now: f64,
+    ) {
         let Some(advisor) = &mut self.advisor else { return };
-        let group = &self.shared.service_groups[ticket.group_index].name;
+        let group = &self.shared.service_groups[context.group_index].name;
         let rungs = self.shared.ladder_kb_per_s.len();
-        let told = ComparedRequest { title: &ticket.title, group, holders: &ask.holders, rungs };
-        for d in advisor.record_request(v, &told, now) {
+        let compared = ComparedRequest { title: &context.title, group, holders: &request.holders, rungs };
+        for d in advisor.record_request(version, &compared, now) {
             let (difference, server) = (d.kind.name(), d.server.map(|s| s.0));
-            tracing::info!(target: "walnutline::catalogue", title = ticket.title, difference, server, "differs");
+            tracing::info!(target: "walnutline::catalogue", title = context.title, difference, server, "differs");
         }
-        self.differed.1 = true;
+        self.differences_submitted.1 = true;
     }
 
-    fn ask_news(&mut self, now: f64) {
-        let (Some(advisor), Some(known)) = (&mut self.advisor, &self.shared.catalogue) else { return };
-        if self.differed.1 && now - self.differed.0 > DIFFER {
-            let taken = known.submit_differences(|| advisor.differences().counts().collect());
-            self.differed = (now, !taken);
+    /// Passes on counts of differences and probes the boxes that the advisor names.
+    fn run_advisor(&mut self, now: f64) {
+        let (Some(advisor), Some(catalogue)) = (&mut self.advisor, &self.shared.catalogue) else { return };
+        if self.differences_submitted.1 && now - self.differences_submitted.0 > DIFFERENCES_INTERVAL_MS {
+            let accepted = catalogue.submit_differences(|| advisor.differences().counts().collect());
+            self.differences_submitted = (now, !accepted);
         }
         if advisor.may_probe(now) {
-            if let Some(v) = known.current_version() {
-                let servers = advisor.probe_targets(&v, |s| self.live.link_measured_at(s), now);
-                self.live.probe_servers(servers, now);
+            if let Some(version) = catalogue.current_version() {
+                let measured_at = |server| self.session_manager.link_measured_at(server);
+                let servers = advisor.probe_targets(&version, measured_at, now);
+                self.session_manager.probe_servers(servers, now);
             }
         }
     }
 
-    fn perform(&mut self, what: IoAction<SessionContext>) {
-        match what {
+    fn perform(&mut self, action: IoAction<SessionContext>) {
+        match action {
             IoAction::Connect { server, conn, address } => {
                 boxes::connect(self.shared.clone(), server, conn, address)
             }
             IoAction::Close { server, conn } => {
-                if let Some((_, line)) = self.lines.get(&server).filter(|(c, _)| *c == conn) {
-                    line.shut_down();
-                    self.lines.remove(&server);
+                if let Some((_, connection)) = self.connections.get(&server).filter(|(c, _)| *c == conn) {
+                    connection.shut_down();
+                    self.connections.remove(&server);
                 }
             }
-            IoAction::Send { server, conn, cseq, request: what } => {
-                if let Some((c, line)) = self.lines.get(&server) {
+            IoAction::Send { server, conn, cseq, request } => {
+                if let Some((c, connection)) = self.connections.get(&server) {
                     if *c == conn {
-                        let _ = line.sender.send(OutgoingMessage::Request { cseq, request: what });
+                        let _ = connection.sender.send(OutgoingMessage::Request { cseq, request });
                     }
                 }
             }
-            IoAction::Answer { id, context: of, answer } => {
+            IoAction::Answer { id, context, answer } => {
                 let reply = match answer {
                     Answer::Playing { server, rung } => {
-                        let media = self.media.get(&server).cloned().unwrap_or_else(|| "".into());
+                        let media_url = self.media_urls.get(&server).cloned().unwrap_or_else(|| "".into());
                         SessionReply::Playing(PlayingSession {
-                            context: of.clone(),
+                            context: context.clone(),
                             server,
                             rung,
-                            media_url: media,
+                            media_url,
                         })
                     }
                     Answer::Busy { retry_after } => SessionReply::Busy { retry_after },
                     Answer::TornDown => SessionReply::TornDown,
                 };
-                let _ = of.reply_to.send(ConnectionMessage::Reply(id, reply));
+                let _ = context.reply_to.send(ConnectionMessage::Reply(id, reply));
             }
             IoAction::Log(line) => tracing::info!(target: "walnutline::mode", "{line}"),
         }
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -1,5 +1,7 @@
-//! Viewers' connections: one coroutine reads requests, one answers them in their order. A request that is taken
-//! gets exactly one answer.
+//! Viewers' connections.
+//!
+//! Each connection has two coroutines: one reads requests, the other answers them in order. Every request that was
+//! read gets exactly one answer.
 use crate::boxes::spawn;
 use crate::connection_monitor::{ConnectionTimer, Monitored};
 use crate::http::{self, Request, RequestError, Response};
@@ -19,32 +21,40 @@
 use walnutline_gate::authorization::Refusal;
 use walnutline_gate::claims::ViewerClaims;
 
-/// What the answering coroutine of a connection is told.
+/// What busy replies to connections beyond the limit ask the viewer to wait.
+const CONNECTION_LIMIT_RETRY_AFTER_MS: f64 = 1_000.0;
+
+/// A message to the coroutine that answers a connection's requests.
 pub enum ConnectionMessage {
+    /// The viewer sent a request.
     Request(Request),
+    /// The viewer sent something that is not a valid request.
     Invalid(RequestError),
+    /// The hub's reply to a request.
     Reply(SessionId, SessionReply),
-    /// The viewer sends no more, or the connection broke: nobody waits for an answer any more.
+    /// The viewer closed its sending side, or the connection broke.
     Disconnected,
 }
 
-/// Names sessions: above a start drawn anew by each process, so that boxes hear no name twice.
-struct Names(AtomicU64);
+/// Generates session ids. Each process starts at a random number, so that boxes never receive the same id from two
+/// processes.
+struct SessionIds(AtomicU64);
 
-impl Names {
+impl SessionIds {
     fn next(&self) -> SessionId {
         SessionId(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
+/// Starts to accept viewers' connections.
 pub fn start(shared: Arc<Shared>, listener: TcpListener, seed: u64) -> io::Result<()> {
-    let start = fastrand::Rng::with_seed(seed ^ shared.clock.now().to_bits()).u64(..1 << 52) << 10;
-    let names = Arc::new(Names(AtomicU64::new(start)));
+    let first_id = fastrand::Rng::with_seed(seed ^ shared.clock.now().to_bits()).u64(..1 << 52) << 10;
+    let session_ids = Arc::new(SessionIds(AtomicU64::new(first_id)));
     spawn(move || loop {
         match listener.accept() {
-            Ok((stream, _)) => accepted(&shared, &names, stream),
+            Ok((stream, _)) => start_connection(&shared, &session_ids, stream),
             Err(e) => {
-                // Out of descriptors or memory: trying again at once would only spin.
+                // Out of descriptors or memory: an immediate retry would fail too and keep the processor busy.
                 tracing::warn!("accept: {e}");
                 shared.monitor.wait_for_next_scan();
             }
@@ -53,47 +63,47 @@
     Ok(())
 }
 
-fn accepted(shared: &Arc<Shared>, names: &Arc<Names>, stream: TcpStream) {
+fn start_connection(shared: &Arc<Shared>, session_ids: &Arc<SessionIds>, stream: TcpStream) {
     let open = shared.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
     let _ = stream.set_nodelay(true);
     let full = open > shared.viewer_limits.max_connections;
     match stream.inner().try_clone() {
         Ok(socket) if !full => {
-            let (inbox, msgs) = mpsc::channel();
+            let (sender, messages) = mpsc::channel();
             let connection = Arc::new(Connection {
                 shared: shared.clone(),
-                names: names.clone(),
+                session_ids: session_ids.clone(),
                 socket,
-                inbox,
-                ahead: Semphore::new(shared.viewer_limits.max_pipelined),
+                sender,
+                pipeline_slots: Semphore::new(shared.viewer_limits.max_pipelined),
                 timer: ConnectionTimer::new(shared.clock.now()),
             });
             shared.monitor.register(&connection);
-            let c = connection.clone();
+            let responder = connection.clone();
             spawn(move || {
-                c.answers(msgs);
-                c.shared.open_connections.fetch_sub(1, Ordering::SeqCst);
+                responder.answer_requests(messages);
+                responder.shared.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
-            spawn(move || connection.reads(stream));
+            spawn(move || connection.read_requests(stream));
         }
         _ => {
-            // Best effort, without waiting: whoever floods the front is not to hold it up.
-            let answer =
-                http::encode_response(&response::busy("too many connections", 1_000.0), false, false);
-            let _ = stream.inner().write(&answer);
+            // One write that does not block: a flood of connections must not hold up the accept loop.
+            let busy = response::busy("too many connections", CONNECTION_LIMIT_RETRY_AFTER_MS);
+            let _ = stream.inner().write(&http::encode_response(&busy, false, false));
             shared.open_connections.fetch_sub(1, Ordering::SeqCst);
         }
     }
 }
 
+/// A viewer's connection, shared by its two coroutines.
 pub struct Connection {
     shared: Arc<Shared>,
-    names: Arc<Names>,
-    /// The socket once more, for answers and for closing it: it never blocks.
+    session_ids: Arc<SessionIds>,
+    /// A non-blocking duplicate of the socket, for writing answers and for closing the connection.
     socket: std::net::TcpStream,
-    inbox: mpsc::Sender<ConnectionMessage>,
-    /// Leave to read one more request.
-    ahead: Semphore,
+    sender: mpsc::Sender<ConnectionMessage>,
+    /// Limits the requests that are read and not yet answered.
+    pipeline_slots: Semphore,
     timer: ConnectionTimer,
 }
 
@@ -108,30 +118,30 @@
 }
 
 impl Connection {
-    fn reads(&self, mut stream: TcpStream) {
+    fn read_requests(&self, mut stream: TcpStream) {
         let (mut buffer, mut bytes) = (Vec::new(), vec![0; 2_048]);
         loop {
-            self.ahead.wait();
-            let request = self.request(&mut stream, &mut buffer, &mut bytes);
+            self.pipeline_slots.wait();
+            let request = self.read_request(&mut stream, &mut buffer, &mut bytes);
             let last = !matches!(&request, Ok(Some(r)) if r.keep_alive);
-            let msg = match request {
+            let message = match request {
                 Ok(None) => break,
-                Ok(Some(r)) => ConnectionMessage::Request(r),
-                Err(bad) => ConnectionMessage::Invalid(bad),
+                Ok(Some(request)) => ConnectionMessage::Request(request),
+                Err(error) => ConnectionMessage::Invalid(error),
             };
             self.timer.request_received();
-            let _ = self.inbox.send(msg);
+            let _ = self.sender.send(message);
             if last {
                 break;
             }
         }
-        // Until the answers are out, only the viewer's leaving is looked for.
+        // Further data is ignored; reading on only detects that the viewer leaves before its answers are written.
         while matches!(stream.read(&mut bytes), Ok(n) if n > 0) {}
-        let _ = self.inbox.send(ConnectionMessage::Disconnected);
+        let _ = self.sender.send(ConnectionMessage::Disconnected);
     }
 
-    /// The next request; `None` at the end of the connection.
-    fn request(
+    /// Reads the next request; `None` at the end of the connection.
+    fn read_request(
         &self,
         stream: &mut TcpStream,
         buffer: &mut Vec<u8>,
@@ -140,18 +150,19 @@
         loop {
             if !buffer.is_empty() {
                 let now = self.shared.clock.now();
-                if let Some((request, used)) = http::parse_request(buffer, &self.shared.viewer_limits, now)? {
-                    buffer.drain(..used);
+                let parsed = http::parse_request(buffer, &self.shared.viewer_limits, now)?;
+                if let Some((request, request_len)) = parsed {
+                    buffer.drain(..request_len);
                     self.timer.set_receiving(!buffer.is_empty(), now);
                     return Ok(Some(request));
                 }
             }
             let n = stream.read(bytes).unwrap_or(0);
             if self.timer.has_expired() {
-                // Cut off by the watch: in the middle of a request it is told so.
-                let why =
+                // The monitor shut the socket down. An idle viewer gets no answer, one in mid-request gets a 408.
+                let timed_out =
                     || RequestError { status: 408, reason: "the request did not come whole in time".into() };
-                return if buffer.is_empty() { Ok(None) } else { Err(why()) };
+                return if buffer.is_empty() { Ok(None) } else { Err(timed_out()) };
             }
             if n == 0 {
                 return Ok(None);
@@ -163,14 +174,14 @@
         }
     }
 
-    /// Writes all of an answer within the time that the settings give for it.
-    fn put(&self, bytes: &[u8]) -> bool {
-        let until = self.shared.clock.now() + self.shared.viewer_limits.write_timeout_ms;
+    /// Writes all bytes within the write time-out; returns whether it could.
+    fn write_all(&self, bytes: &[u8]) -> bool {
+        let deadline = self.shared.clock.now() + self.shared.viewer_limits.write_timeout_ms;
         let mut rest = bytes;
         while !rest.is_empty() {
             match (&self.socket).write(rest) {
                 Ok(n) if n > 0 => rest = &rest[n..],
-                Err(e) if e.kind() == ErrorKind::WouldBlock && self.shared.clock.now() < until => {
+                Err(e) if e.kind() == ErrorKind::WouldBlock && self.shared.clock.now() < deadline => {
                     self.shared.monitor.wait_for_next_scan();
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -180,36 +191,36 @@
         true
     }
 
-    fn answers(&self, msgs: mpsc::Receiver<ConnectionMessage>) {
+    fn answer_requests(&self, messages: mpsc::Receiver<ConnectionMessage>) {
         let mut queue: VecDeque<Result<Request, RequestError>> = VecDeque::new();
-        let mut out: Option<Waits> = None;
-        while let Ok(msg) = msgs.recv() {
-            let open = match msg {
-                ConnectionMessage::Request(r) => {
-                    queue.push_back(Ok(r));
+        let mut pending: Option<PendingRequest> = None;
+        while let Ok(message) = messages.recv() {
+            let open = match message {
+                ConnectionMessage::Request(request) => {
+                    queue.push_back(Ok(request));
                     true
                 }
-                ConnectionMessage::Invalid(b) => {
-                    queue.push_back(Err(b));
+                ConnectionMessage::Invalid(error) => {
+                    queue.push_back(Err(error));
                     true
                 }
-                ConnectionMessage::Reply(id, reply) => match out.take_if(|w| w.id == id) {
-                    Some(waits) => {
+                ConnectionMessage::Reply(id, reply) => match pending.take_if(|p| p.id == id) {
+                    Some(answered) => {
                         let response = response::from_reply(&self.shared, &reply);
-                        let sent = self.send(&response, &waits.request);
-                        if sent == Sent::Failed {
-                            self.left(&waits);
+                        let sent = self.send(&response, &answered.request);
+                        if sent == SendResult::Failed {
+                            self.report_viewer_left(&answered);
                         }
                         self.shared.open_requests.fetch_sub(1, Ordering::SeqCst);
-                        sent == Sent::Open
+                        sent == SendResult::KeepAlive
                     }
                     None => true,
                 },
                 ConnectionMessage::Disconnected => {
-                    // A viewer that only closed its sending half still gets an answer, though not a session.
-                    if let Some(waits) = out.take() {
-                        self.left(&waits);
-                        self.send(&response::busy("the viewer left", 0.0), &waits.request);
+                    // A viewer may have closed only its sending side: it still gets an answer, but no session.
+                    if let Some(unanswered) = pending.take() {
+                        self.report_viewer_left(&unanswered);
+                        self.send(&response::busy("the viewer left", 0.0), &unanswered.request);
                         self.shared.open_requests.fetch_sub(1, Ordering::SeqCst);
                     }
                     false
@@ -218,20 +229,22 @@
             if !open {
                 break;
             }
-            while out.is_none() {
+            while pending.is_none() {
                 let Some(next) = queue.pop_front() else { break };
                 let closes = match next {
-                    Err(bad) => {
-                        let response = Response::plain_text(bad.status, &bad.reason);
-                        self.put(&http::encode_response(&response, false, false));
+                    Err(error) => {
+                        let response = Response::plain_text(error.status, &error.reason);
+                        self.write_all(&http::encode_response(&response, false, false));
                         true
                     }
-                    Ok(request) => match self.begin(&request) {
-                        Begun::Waits { id, renews } => {
-                            out = Some(Waits { id, renews, request });
+                    Ok(request) => match self.handle_request(&request) {
+                        Handled::Pending { id, renewal } => {
+                            pending = Some(PendingRequest { id, renewal, request });
                             false
                         }
-                        Begun::Answered(response) => self.send(&response, &request) != Sent::Open,
+                        Handled::Answered(response) => {
+                            self.send(&response, &request) != SendResult::KeepAlive
+                        }
                     },
                 };
                 if closes {
@@ -243,151 +256,168 @@
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 
-    /// The viewer is gone before its answer reached it. One who asked for a renewed manifest keeps its session.
-    fn left(&self, waits: &Waits) {
-        if !waits.renews {
-            let _ = self.shared.hub_events.send(HubEvent::ViewerLeft(waits.id));
+    /// Tells the hub that the viewer left before its answer reached it. The session of a renewal plays already and is
+    /// not affected.
+    fn report_viewer_left(&self, request: &PendingRequest) {
+        if !request.renewal {
+            let _ = self.shared.hub_events.send(HubEvent::ViewerLeft(request.id));
         }
     }
 
-    fn send(&self, response: &Response, request: &Request) -> Sent {
-        let keep = request.keep_alive && !self.shared.stopping.load(Ordering::SeqCst);
-        let bytes = http::encode_response(response, request.method == "HEAD", keep);
-        let sent = self.put(&bytes);
+    /// Writes the answer to a request and makes room for another one.
+    fn send(&self, response: &Response, request: &Request) -> SendResult {
+        let keep_alive = request.keep_alive && !self.shared.stopping.load(Ordering::SeqCst);
+        let bytes = http::encode_response(response, request.method == "HEAD", keep_alive);
+        let written = self.write_all(&bytes);
         self.timer.response_sent(self.shared.clock.now());
-        self.ahead.post();
-        match (sent, keep) {
-            (false, _) => Sent::Failed,
-            (true, true) => Sent::Open,
-            (true, false) => Sent::Last,
+        self.pipeline_slots.post();
+        match (written, keep_alive) {
+            (false, _) => SendResult::Failed,
+            (true, true) => SendResult::KeepAlive,
+            (true, false) => SendResult::Close,
         }
     }
 
-    fn begin(&self, request: &Request) -> Begun {
+    /// Answers a request at once, or authorizes it and passes it to the hub.
+    fn handle_request(&self, request: &Request) -> Handled {
         let shared = &self.shared;
         if request.method != "GET" && request.method != "HEAD" {
-            let mut r = Response::plain_text(405, "only GET and HEAD are taken");
-            r.headers.push(("Allow", "GET, HEAD".into()));
-            return Begun::Answered(r);
+            let mut response = Response::plain_text(405, "only GET and HEAD are taken");
+            response.headers.push(("Allow", "GET, HEAD".into()));
+            return Handled::Answered(response);
         }
         if let Some(id) = request.path.strip_prefix("/s/").and_then(|p| p.strip_suffix(".mpd")) {
-            return self.renew(id, request);
+            return self.renew_manifest(id, request);
         }
         if !(request.path.starts_with("/m/") && request.path.ends_with(".mpd")) {
-            return Begun::Answered(Response::plain_text(404, "no such thing here"));
+            return Handled::Answered(Response::plain_text(404, "no such thing here"));
         }
         if shared.stopping.load(Ordering::SeqCst) {
-            return Begun::Answered(response::busy("this front is stopping", 0.0));
+            return Handled::Answered(response::busy("this front is stopping", 0.0));
         }
         let url = format!("{}{}", shared.public_url, request.path);
         let token = request.token.clone().or_else(|| http::query_parameter(&request.query, "CAT"));
-        let what = (request.method.as_str(), request.path.as_str(), url.as_str());
+        let target = (request.method.as_str(), request.path.as_str(), url.as_str());
         let now = shared.clock.now();
-        let asked = shared
+        let authorized = shared
             .authorizer
-            .authorize(what, token.as_deref(), request.proof.as_deref(), now)
-            .and_then(|claims| self.ask(&claims, request));
-        match asked {
-            Ok((ask, title)) => {
-                let id = self.names.next();
-                let group = usize::from(ask.group.0);
-                // The one version that all of this request is answered by.
-                let known = shared.catalogue.as_ref().and_then(|k| k.current_version());
-                let rates = known.as_ref().and_then(|v| self.rates(v, &title));
-                let ask = SessionRequest { rates_kb_per_s: rates.clone(), ..ask };
-                let ticket =
-                    SessionContext::new(id, title, group, request.received_at, rates, self.inbox.clone());
+            .authorize(target, token.as_deref(), request.proof.as_deref(), now)
+            .and_then(|claims| self.session_request(&claims, request));
+        match authorized {
+            Ok((session_request, title)) => {
+                let id = self.session_ids.next();
+                let group_index = usize::from(session_request.group.0);
+                // One version for the whole request, even if a newer one comes into force meanwhile.
+                let catalogue = shared.catalogue.as_ref().and_then(|c| c.current_version());
+                let rates = catalogue.as_ref().and_then(|v| self.title_rates(v, &title));
+                let session_request = SessionRequest { rates_kb_per_s: rates.clone(), ..session_request };
+                let context = SessionContext::new(
+                    id,
+                    title,
+                    group_index,
+                    request.received_at,
+                    rates,
+                    self.sender.clone(),
+                );
                 shared.open_requests.fetch_add(1, Ordering::SeqCst);
-                let _ = shared.hub_events.send(HubEvent::SessionRequested {
-                    request: ask,
-                    context: ticket,
-                    catalogue: known,
-                });
-                Begun::Waits { id, renews: false }
+                let event = HubEvent::SessionRequested { request: session_request, context, catalogue };
+                let _ = shared.hub_events.send(event);
+                Handled::Pending { id, renewal: false }
             }
             Err(refusal) => {
                 tracing::debug!(path = request.path, reason = refusal.reason(), "not let in: {refusal:?}");
-                Begun::Answered(response::refused(&refusal))
+                Handled::Answered(response::refused(&refusal))
             }
         }
     }
 
-    /// A request that was let in, as the desk takes it, and its title.
-    fn ask(&self, claims: &ViewerClaims, request: &Request) -> Result<(SessionRequest, String), Refusal> {
+    /// Converts an authorized request to the session manager's form; also returns its title.
+    fn session_request(
+        &self,
+        claims: &ViewerClaims,
+        request: &Request,
+    ) -> Result<(SessionRequest, String), Refusal> {
         let groups = &self.shared.service_groups;
         let group =
             groups.iter().position(|g| g.name == claims.service_group).ok_or(Refusal::UnknownGroup)?;
-        let of_query =
+        let number =
             |name: &str| http::query_parameter(&request.query, name).and_then(|v| v.parse::<f64>().ok());
-        let patience = groups[group].wait_limit_ms;
-        let top = of_query("top").map_or(u8::MAX, |t| t.clamp(0.0, 255.0) as u8);
-        let title = title(&claims.manifest_path);
-        let ask = SessionRequest {
+        let wait_limit = groups[group].wait_limit_ms;
+        let requested_top = number("top").map_or(u8::MAX, |t| t.clamp(0.0, 255.0) as u8);
+        let title = title_from_path(&claims.manifest_path);
+        let session_request = SessionRequest {
             group: GroupIndex(group as u16),
             title: title_id(&title),
             holders: claims.holders.iter().map(|h| ServerId(*h)).collect(),
             rates_kb_per_s: None,
-            highest_rung: top.min(claims.max_rung.unwrap_or(u8::MAX)).min(groups[group].highest_rung),
-            time_left: of_query("wait").filter(|w| *w > 0.0).map_or(patience, |w| w.min(patience)),
+            highest_rung: requested_top
+                .min(claims.max_rung.unwrap_or(u8::MAX))
+                .min(groups[group].highest_rung),
+            time_left: number("wait").filter(|w| *w > 0.0).map_or(wait_limit, |w| w.min(wait_limit)),
         };
-        Ok((ask, title))
+        Ok((session_request, title))
     }
 
-    /// The title's true rates, where the catalogue has them and they are to be reckoned with.
-    fn rates(&self, v: &Version, title: &str) -> Option<Arc<[f64]>> {
-        let wanted = self.shared.catalogue.as_ref().is_some_and(|k| k.settings.use_title_rates);
-        advisor::title_rates(v, title, self.shared.ladder_kb_per_s.len()).filter(|_| wanted)
+    /// The title's own rate at each rung, where the catalogue has them and the settings use them.
+    fn title_rates(&self, version: &Version, title: &str) -> Option<Arc<[f64]>> {
+        let used = self.shared.catalogue.as_ref().is_some_and(|c| c.settings.use_title_rates);
+        advisor::title_rates(version, title, self.shared.ladder_kb_per_s.len()).filter(|_| used)
     }
 
-    fn renew(&self, id: &str, request: &Request) -> Begun {
+    /// Handles a request for the current manifest of a session, which its session token authorizes.
+    fn renew_manifest(&self, id: &str, request: &Request) -> Handled {
         let token = http::query_parameter(&request.query, "CAT");
-        let own = token
+        let verified = token
             .ok_or(Refusal::NoToken)
             .and_then(|t| self.shared.authorizer.verify_session_token(&t, self.shared.clock.now()));
-        match own {
+        match verified {
             Ok(claims) if claims.session.to_string() == id => {
                 let id = SessionId(claims.session);
                 self.shared.open_requests.fetch_add(1, Ordering::SeqCst);
-                let _ = self
-                    .shared
-                    .hub_events
-                    .send(HubEvent::ManifestRequested { id, reply_to: self.inbox.clone() });
-                Begun::Waits { id, renews: true }
+                let event = HubEvent::ManifestRequested { id, reply_to: self.sender.clone() };
+                let _ = self.shared.hub_events.send(event);
+                Handled::Pending { id, renewal: true }
             }
-            Ok(_) => Begun::Answered(response::refused(&Refusal::OtherTitle)),
-            Err(refusal) => Begun::Answered(response::refused(&refusal)),
+            Ok(_) => Handled::Answered(response::refused(&Refusal::OtherTitle)),
+            Err(refusal) => Handled::Answered(response::refused(&refusal)),
         }
     }
 }
 
-enum Begun {
-    Waits { id: SessionId, renews: bool },
+/// What was done with a request.
+enum Handled {
+    /// The hub will reply to it.
+    Pending { id: SessionId, renewal: bool },
+    /// It is answered with this.
     Answered(Response),
 }
 
-/// A request that waits for the hub's answer.
-struct Waits {
+/// A request that waits for the hub's reply.
+struct PendingRequest {
     id: SessionId,
-    /// It asks for a session's manifest anew.
-    renews: bool,
+    /// Whether it asks for the current manifest of a session that plays already.
+    renewal: bool,
     request: Request,
 }
 
-/// What became of an answer, and of the connection with it.
+/// Outcome of writing an answer.
 #[derive(PartialEq)]
-enum Sent {
-    Open,
-    Last,
+enum SendResult {
+    /// It was written, and the connection stays open.
+    KeepAlive,
+    /// It was written, and the connection closes.
+    Close,
+    /// It could not be written completely.
     Failed,
 }
 
-/// The title of a manifest's path, percent-decoded.
-fn title(path: &str) -> String {
+/// The title in a manifest's path, percent-decoded.
+fn title_from_path(path: &str) -> String {
     let name = path.strip_prefix("/m/").and_then(|p| p.strip_suffix(".mpd")).unwrap_or(path);
     percent_encoding::percent_decode_str(name).decode_utf8_lossy().into_owned()
 }
 
-/// Titles are texts here and numbers to the decisions: the first 8 bytes of their SHA-256.
+/// The number by which the placement decisions know a title: the first 8 bytes of its SHA-256 hash.
 fn title_id(title: &str) -> TitleId {
     let hash = walnutline_dash::token_hash(title);
     TitleId(u64::from_le_bytes(std::array::from_fn(|n| hash[n])))
