--- a/crates/front/src/authorizer.rs
+++ b/crates/front/src/authorizer.rs
@@ -1,4 +1,5 @@
-//! Checks a viewer's token and proof by the codecs and asks the gate for its verdict; mints sessions' tokens.
+//! Authorizes viewers' requests by token and proof, and issues session tokens. `walnutline_dash` decodes and verifies
+//! signatures, `walnutline_gate` decides by the claims.
 use arc_swap::ArcSwap;
 use std::sync::Mutex;
 use walnutline_dash::{proof, proof_digest, token, token_hash, SigningKey, VerifyingKey};
@@ -7,6 +8,7 @@
 use walnutline_gate::keys::KeySet;
 use walnutline_gate::replay::ReplayCache;
 
+/// Holds the keys in force and the proofs that were used.
 pub struct Authorizer {
     policy: AuthorizationPolicy,
     replay_cache: Mutex<ReplayCache>,
@@ -15,6 +17,7 @@
 }
 
 impl Authorizer {
+    /// Creates an authorizer that stores at most `max_stored_proofs` for replay detection.
     pub fn new(
         policy: AuthorizationPolicy,
         max_stored_proofs: usize,
@@ -29,12 +32,14 @@
         }
     }
 
+    /// Replaces all keys. Requests under way are finished with the old ones.
     pub fn replace_keys(&self, issuer_keys: KeySet<VerifyingKey>, session_keys: KeySet<SigningKey>) {
         self.issuer_keys.store(issuer_keys.into());
         self.session_keys.store(session_keys.into());
     }
 
-    /// Lets a request in by its token and proof, or says why not. `url`: the request's, without the query.
+    /// Checks a request's token and proof; returns the token's claims or why the request is refused. `url` is the
+    /// request's URL without the query.
     pub fn authorize(
         &self,
         (method, path, url): (&str, &str, &str),
@@ -44,29 +49,30 @@
     ) -> Result<ViewerClaims, Refusal> {
         let token = token.ok_or(Refusal::NoToken)?;
         let hash = token_hash(token);
-        let asked = RequestContext { method, path, url, token_hash: &hash };
-        let ring = self.issuer_keys.load();
-        let claims = token::verify(token, |id| ring.find(id, now).copied())?;
-        self.policy.check_token(&claims, asked, now)?;
+        let request = RequestContext { method, path, url, token_hash: &hash };
+        let keys = self.issuer_keys.load();
+        let claims = token::verify(token, |id| keys.find(id, now).copied())?;
+        self.policy.check_token(&claims, request, now)?;
         let proof = proof::verify(proof.ok_or(Refusal::NoProof)?)?;
-        self.policy.check_proof(&claims, &proof, asked, now)?;
-        let mark = proof_digest(&proof.public_key, &proof.id);
-        let use_ = self.replay_cache.lock().unwrap_or_else(|e| e.into_inner()).check_and_insert(mark, now);
-        self.policy.check_first_use(use_)?;
+        self.policy.check_proof(&claims, &proof, request, now)?;
+        let digest = proof_digest(&proof.public_key, &proof.id);
+        let replay_check =
+            self.replay_cache.lock().unwrap_or_else(|e| e.into_inner()).check_and_insert(digest, now);
+        self.policy.check_first_use(replay_check)?;
         Ok(claims)
     }
 
-    /// Signs a session's token; `None` while no session key is in force.
+    /// Issues a session token; `None` while no session key is in force.
     pub fn mint_session_token(&self, claims: &SessionClaims, now: f64) -> Option<String> {
-        let ring = self.session_keys.load();
-        let entry = ring.signing_key(now)?;
+        let keys = self.session_keys.load();
+        let entry = keys.signing_key(now)?;
         Some(token::mint_session(claims, &entry.id, &entry.key))
     }
 
-    /// Checks a session's token that this front gave out itself.
+    /// Verifies a session token that this front issued.
     pub fn verify_session_token(&self, token: &str, now: f64) -> Result<SessionClaims, Refusal> {
-        let ring = self.session_keys.load();
-        let claims = token::verify_session(token, |id| ring.find(id, now).map(SigningKey::verifying_key))?;
+        let keys = self.session_keys.load();
+        let claims = token::verify_session(token, |id| keys.find(id, now).map(SigningKey::verifying_key))?;
         if now >= claims.expires_at {
             return Err(Refusal::Expired);
         }
--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -1,6 +1,8 @@
-//! Keeps the catalogue: reads what was stored, follows its publisher, writes changes ahead of putting them in force.
-//! One thread, since its reads and its disk wait; requests only ever take the version in force. Where a publisher
-//! stands is [`follower::FeedFollower`]'s to say; what is kept, [`retention`]'s.
+//! Stores and follows the catalogue: loads what is stored, fetches changes from the publisher, and writes them to disk
+//! before they come into force.
+//!
+//! One background thread does this, since its network reads and disk writes block. Requests only load the version in
+//! force. [`follower::FeedFollower`] decides what to fetch next, [`retention`] when a snapshot is written.
 use crate::clock::Clock;
 use crate::http_client::{BodyRead, ResponseBody};
 use std::io;
@@ -21,344 +23,364 @@
 use walnutline_desk::session_manager::Timeouts;
 use walnutline_settings::CatalogueSettings;
 
-/// Bytes of a snapshot that are worked at in one piece.
-const PIECE: usize = 4 * 1024;
-/// How often what is due beside the stream is looked after.
-const BEAT: Duration = Duration::from_millis(200);
-/// While changes are gathered, reads wait no longer than this.
-const GATHERING: Duration = Duration::from_millis(5);
+/// Bytes of a stream that are processed between two pauses.
+const CHUNK_BYTES: usize = 4 * 1024;
+/// How often [`CatalogueUpdater::do_maintenance`] runs.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Read time-out while a batch of changes is pending, so that it is applied on time.
+const BATCH_READ_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// Counts of differences by sort and box.
+/// Counts of differences between requests and the catalogue, by kind and box.
 pub type DifferenceCounts = Vec<(DifferenceKind, Option<ServerId>, u64)>;
 
-/// What requests have of the catalogue.
+/// Access to the catalogue for the threads that handle requests.
 pub struct CatalogueHandle {
     current: Arc<CurrentVersion>,
     pub settings: CatalogueSettings,
-    /// Differences counted so far, where they changed since they were last written down.
+    /// The latest counts of differences, until they are written to disk.
     differences: Mutex<Option<DifferenceCounts>>,
 }
 
 impl CatalogueHandle {
-    /// The version in force, for a whole request; `None` while there is no catalogue.
+    /// The version in force, to be used for a whole request; `None` while there is no catalogue.
     pub fn current_version(&self) -> Option<Arc<Version>> {
-        let v = self.current.load();
-        (!v.is_empty()).then_some(v)
+        let version = self.current.load();
+        (!version.is_empty()).then_some(version)
     }
 
-    /// Hands counts over to be written where `walnutline catalogue diff` finds them; `false` where they cannot be
-    /// taken now. Never waits: who writes them stands back and may hold the lock for long.
+    /// Passes on counts to be written to the file that `walnutline catalogue diff` reads. Returns `false` if they
+    /// cannot be accepted now. Never blocks: the background thread that writes them has the lowest priority and may
+    /// hold the lock for long.
     pub fn submit_differences(&self, counts: impl FnOnce() -> DifferenceCounts) -> bool {
-        let Ok(mut waiting) = self.differences.try_lock() else { return false };
-        *waiting = Some(counts());
+        let Ok(mut pending) = self.differences.try_lock() else { return false };
+        *pending = Some(counts());
         true
     }
 }
 
-struct Keeper {
-    known: Arc<CatalogueHandle>,
+/// State of the background thread.
+struct CatalogueUpdater {
+    handle: Arc<CatalogueHandle>,
     clock: Clock,
-    waits: Timeouts,
+    timeouts: Timeouts,
     writer: VersionWriter,
-    /// Without it the catalogue is kept in memory alone.
+    /// `None`: the catalogue is held in memory only.
     store: Option<Store>,
-    follow: FeedFollower,
-    /// Changes since the newest snapshot, and the snapshot that is being written.
-    since: u64,
-    snapshot: Option<JoinHandle<Result<PathBuf, StoreError>>>,
+    follower: FeedFollower,
+    /// Changes since the newest snapshot.
+    changes_since_snapshot: u64,
+    /// The thread that writes a snapshot, if one does.
+    snapshot_thread: Option<JoinHandle<Result<PathBuf, StoreError>>>,
 }
 
-/// Starts to read the store and then to follow. The front serves meanwhile, without a catalogue until it is read; a store
-/// that cannot be read is told of, and the front goes on without it.
+/// Starts the background thread, which loads the stored catalogue and then follows the publisher. The front serves
+/// requests meanwhile, without a catalogue until it is loaded. If the store cannot be read, this is logged and the front
+/// runs without a catalogue.
 pub fn start(
-    terms: CatalogueSettings,
+    settings: CatalogueSettings,
     clock: Clock,
-    waits: Timeouts,
+    timeouts: Timeouts,
     seed: u64,
 ) -> io::Result<Arc<CatalogueHandle>> {
     let writer = VersionWriter::default();
-    let known = Arc::new(CatalogueHandle {
-        current: writer.current(),
-        settings: terms,
-        differences: Mutex::default(),
-    });
-    let mut keeper = Keeper {
-        known: known.clone(),
+    let handle =
+        Arc::new(CatalogueHandle { current: writer.current(), settings, differences: Mutex::default() });
+    let mut updater = CatalogueUpdater {
+        handle: handle.clone(),
         clock,
-        waits,
+        timeouts,
         writer,
         store: None,
-        follow: FeedFollower::default(),
-        since: 0,
-        snapshot: None,
+        follower: FeedFollower::default(),
+        changes_since_snapshot: 0,
+        snapshot_thread: None,
     };
     std::thread::Builder::new().name("catalogue".into()).spawn(move || {
-        stand_back();
-        keeper.read();
-        keeper.run(seed)
+        lower_thread_priority();
+        updater.load_stored();
+        updater.run(seed)
     })?;
-    Ok(known)
+    Ok(handle)
 }
 
-impl Keeper {
-    /// Takes up what was stored.
-    fn read(&mut self) {
-        let mut began = Instant::now();
-        let opened = Store::open(&self.known.settings.folder, &mut |_, _| {
-            rest(began);
-            began = Instant::now();
+impl CatalogueUpdater {
+    /// Opens the store and puts the catalogue that it holds in force.
+    fn load_stored(&mut self) {
+        let mut step_start = Instant::now();
+        let opened = Store::open(&self.handle.settings.folder, &mut |_, _| {
+            pause_after_step(step_start);
+            step_start = Instant::now();
         });
-        let (store, held) = match opened {
+        let (store, stored) = match opened {
             Ok(opened) => opened,
-            Err(fault) => {
-                tracing::error!(target: "walnutline::mode", "starts without a catalogue and keeps none: {fault}");
+            Err(error) => {
+                tracing::error!(target: "walnutline::mode", "starts without a catalogue and keeps none: {error}");
                 return;
             }
         };
-        held.errors.iter().for_each(|f| tracing::error!(target: "walnutline::mode", "catalogue: {f}"));
-        match held.version {
+        stored.errors.iter().for_each(|e| tracing::error!(target: "walnutline::mode", "catalogue: {e}"));
+        match stored.version {
             Some(v) => {
                 tracing::info!(target: "walnutline::mode", number = v.number(), titles = v.len(), "catalogue read");
-                self.follow = FeedFollower::resume_from((!v.is_empty()).then(|| v.number()));
+                self.follower = FeedFollower::resume_from((!v.is_empty()).then(|| v.number()));
                 self.writer.publish(v);
             }
             None => tracing::info!(target: "walnutline::mode", "starts without a catalogue: none is stored"),
         }
-        (self.store, self.since) = (Some(store), held.changes_since_snapshot);
+        (self.store, self.changes_since_snapshot) = (Some(store), stored.changes_since_snapshot);
     }
 
+    /// Follows the publisher for as long as the process runs.
     fn run(&mut self, seed: u64) {
-        let Some((at, path)) = self.known.settings.source.clone() else {
+        let Some((address, path)) = self.handle.settings.source.clone() else {
             loop {
-                self.beat();
-                std::thread::sleep(BEAT);
+                self.do_maintenance();
+                std::thread::sleep(MAINTENANCE_INTERVAL);
             }
         };
-        let (mut retry, mut rng) = (Backoff::default(), fastrand::Rng::with_seed(seed.rotate_left(16)));
+        let (mut backoff, mut rng) = (Backoff::default(), fastrand::Rng::with_seed(seed.rotate_left(16)));
         loop {
-            let done = match self.follow.next_fetch() {
-                NextFetch::Snapshot => self.whole(at, &format!("{path}/snapshot")),
-                NextFetch::ChangesAfter(n) => self.changes(at, &format!("{path}/changes"), n, &mut retry),
+            let result = match self.follower.next_fetch() {
+                NextFetch::Snapshot => self.fetch_snapshot(address, &format!("{path}/snapshot")),
+                NextFetch::ChangesAfter(n) => {
+                    self.follow_changes(address, &format!("{path}/changes"), n, &mut backoff)
+                }
             };
-            let why = match done {
-                Ok(()) if self.follow.next_fetch() != NextFetch::Snapshot => continue,
-                Ok(()) => "the changes after ours are no longer to be had".into(),
+            let why = match result {
+                Ok(()) if self.follower.next_fetch() != NextFetch::Snapshot => continue,
+                Ok(()) => "the publisher no longer has the changes that follow".into(),
                 Err(e) => e.to_string(),
             };
-            let wait = retry.next_delay(&mut rng);
-            tracing::info!(target: "walnutline::mode", "catalogue away why={why:?} again_in={wait:.0}");
-            let until = self.clock.now() + wait;
-            while self.clock.now() < until {
-                self.beat();
-                std::thread::sleep(BEAT.min(Duration::from_secs_f64(wait / 1_000.0)));
+            let delay = backoff.next_delay(&mut rng);
+            tracing::info!(target: "walnutline::mode", "catalogue away why={why:?} again_in={delay:.0}");
+            let retry_at = self.clock.now() + delay;
+            while self.clock.now() < retry_at {
+                self.do_maintenance();
+                std::thread::sleep(MAINTENANCE_INTERVAL.min(Duration::from_secs_f64(delay / 1_000.0)));
             }
         }
     }
 
-    /// What is due beside the stream.
-    fn beat(&mut self) {
+    /// Does the periodic work: reclaims old versions, writes counts of differences, and starts and finishes snapshots.
+    fn do_maintenance(&mut self) {
         self.writer.reclaim();
-        let counts = self.known.differences.lock().unwrap_or_else(|e| e.into_inner()).take();
+        let counts = self.handle.differences.lock().unwrap_or_else(|e| e.into_inner()).take();
         if let Some(counts) = counts {
-            let file = self.known.settings.folder.join("differences.json");
-            if let Err(e) = write_counts(&file, &counts) {
+            let file = self.handle.settings.folder.join("differences.json");
+            if let Err(e) = write_difference_counts(&file, &counts) {
                 tracing::error!("catalogue: {}: {e}", file.display());
             }
         }
-        if self.snapshot.as_ref().is_some_and(|s| s.is_finished()) {
-            let done = self.snapshot.take().and_then(|s| s.join().ok());
-            let pruned = match (done, &self.store) {
+        if self.snapshot_thread.as_ref().is_some_and(|s| s.is_finished()) {
+            let finished = self.snapshot_thread.take().and_then(|s| s.join().ok());
+            let pruned = match (finished, &self.store) {
                 (Some(Ok(_)), Some(store)) => store.prune(),
-                (Some(Err(fault)), _) => Err(fault),
+                (Some(Err(error)), _) => Err(error),
                 _ => Ok(()),
             };
-            if let Err(fault) = pruned {
-                tracing::error!("catalogue: snapshot: {fault}");
+            if let Err(error) = pruned {
+                tracing::error!("catalogue: snapshot: {error}");
             }
         }
-        let v = self.writer.current().load();
-        if self.store.is_some() && self.snapshot.is_none() && retention::snapshot_due(self.since, v.len()) {
-            self.since = 0;
-            let folder = self.known.settings.folder.clone();
+        let version = self.writer.current().load();
+        let due = self.store.is_some()
+            && self.snapshot_thread.is_none()
+            && retention::snapshot_due(self.changes_since_snapshot, version.len());
+        if due {
+            self.changes_since_snapshot = 0;
+            let folder = self.handle.settings.folder.clone();
             let write = move || {
-                stand_back();
-                write_snapshot(&folder, &v, &mut |_, _| {})
+                lower_thread_priority();
+                write_snapshot(&folder, &version, &mut |_, _| {})
             };
-            self.snapshot = std::thread::Builder::new().name("snapshot".into()).spawn(write).ok();
+            self.snapshot_thread = std::thread::Builder::new().name("snapshot".into()).spawn(write).ok();
         }
     }
 
-    /// Fetches a whole catalogue beside the one in force. It is on the disk before it is in force.
-    fn whole(&mut self, at: SocketAddr, path: &str) -> io::Result<()> {
-        let beside = self.writer.current().load();
-        let mut reader = snapshot::SnapshotReader::new((!beside.is_empty()).then_some(beside));
-        let folder = self.known.settings.folder.clone();
-        let mut part = self
+    /// Fetches a complete catalogue while the old one stays in force. It is on disk before it comes into force.
+    fn fetch_snapshot(&mut self, address: SocketAddr, path: &str) -> io::Result<()> {
+        let previous = self.writer.current().load();
+        let mut reader = snapshot::SnapshotReader::new((!previous.is_empty()).then_some(previous));
+        let folder = self.handle.settings.folder.clone();
+        let mut file = self
             .store
             .is_some()
             .then(|| SnapshotWriter::create(&folder, "fetched"))
             .transpose()
-            .map_err(other)?;
-        let mut body = ResponseBody::open(at, path, "", self.waits)?;
-        let mut told = 0;
+            .map_err(io_error)?;
+        let mut body = ResponseBody::open(address, path, "", self.timeouts)?;
+        let mut logged_tenths = 0;
         loop {
-            let piece = match body.read()? {
+            let data = match body.read()? {
                 BodyRead::Data(n) => &body.buffer[..n],
                 BodyRead::End => break,
                 BodyRead::Idle => {
-                    self.beat();
+                    self.do_maintenance();
                     continue;
                 }
             };
-            for block in piece.chunks(PIECE) {
-                let began = Instant::now();
-                reader.push(block).map_err(other)?;
-                rest(began);
+            for chunk in data.chunks(CHUNK_BYTES) {
+                let step_start = Instant::now();
+                reader.push(chunk).map_err(io_error)?;
+                pause_after_step(step_start);
             }
-            if let Some(part) = &mut part {
-                part.write(piece).map_err(other)?;
+            if let Some(file) = &mut file {
+                file.write(data).map_err(io_error)?;
             }
-            let (done, all) = reader.progress();
-            if all > 0 && done * 10 / all > told {
-                told = done * 10 / all;
-                tracing::info!("catalogue: {done} of {all} titles fetched");
+            let (fetched, total) = reader.progress();
+            if total > 0 && fetched * 10 / total > logged_tenths {
+                logged_tenths = fetched * 10 / total;
+                tracing::info!("catalogue: {fetched} of {total} titles fetched");
             }
         }
-        let v = reader.finish().map_err(other)?;
-        let (number, titles) = (v.number(), v.len());
-        // A snapshot of the old catalogue that came to its end later would stand beside the new one.
-        if let Some(snapshot) = self.snapshot.take() {
-            let _ = snapshot.join();
+        let version = reader.finish().map_err(io_error)?;
+        let (number, titles) = (version.number(), version.len());
+        // A snapshot of the old catalogue must not be completed after the store is reset to the new one.
+        if let Some(snapshot_thread) = self.snapshot_thread.take() {
+            let _ = snapshot_thread.join();
         }
-        if let (Some(part), Some(store)) = (part, &self.store) {
-            part.finish(number).and_then(|_| store.reset_to_snapshot(number)).map_err(other)?;
+        if let (Some(file), Some(store)) = (file, &self.store) {
+            file.finish(number).and_then(|_| store.reset_to_snapshot(number)).map_err(io_error)?;
         }
-        self.writer.publish(v);
-        self.follow.mark_applied(number);
-        self.since = 0;
+        self.writer.publish(version);
+        self.follower.mark_applied(number);
+        self.changes_since_snapshot = 0;
         tracing::info!(target: "walnutline::mode", number, titles, "catalogue in force");
         Ok(())
     }
 
-    fn changes(&mut self, at: SocketAddr, path: &str, after: u64, retry: &mut Backoff) -> io::Result<()> {
-        let mut body = ResponseBody::open(at, path, &format!("Last-Event-ID: {after}\r\n"), self.waits)?;
-        let mut events = EventReader::default();
+    /// Follows the stream of changes until it ends. Returns `Ok` if the publisher no longer has the changes after
+    /// `after`.
+    fn follow_changes(
+        &mut self,
+        address: SocketAddr,
+        path: &str,
+        after: u64,
+        backoff: &mut Backoff,
+    ) -> io::Result<()> {
+        let resume = format!("Last-Event-ID: {after}\r\n");
+        let mut body = ResponseBody::open(address, path, &resume, self.timeouts)?;
+        let mut reader = EventReader::default();
         loop {
-            body.set_read_timeout(if self.follow.batch_due_at().is_some() { GATHERING } else { BEAT })?;
+            let batch_pending = self.follower.batch_due_at().is_some();
+            body.set_read_timeout(if batch_pending { BATCH_READ_TIMEOUT } else { MAINTENANCE_INTERVAL })?;
             match body.read() {
                 Ok(BodyRead::Data(n)) => {
-                    for piece in body.buffer[..n].chunks(PIECE) {
-                        let began = Instant::now();
-                        for event in events.push(piece).map_err(other)? {
+                    for chunk in body.buffer[..n].chunks(CHUNK_BYTES) {
+                        let step_start = Instant::now();
+                        for event in reader.push(chunk).map_err(io_error)? {
                             if event.name == "too-old" {
-                                self.follow.history_expired();
+                                self.follower.history_expired();
                                 return Ok(());
                             }
-                            self.heard(event)?;
+                            self.handle_event(event)?;
                         }
-                        rest(began);
+                        pause_after_step(step_start);
                     }
-                    // A stream that breaks at its first change has not worked.
-                    if self.follow.batch_due_at().is_none() {
-                        retry.reset();
+                    // With a batch pending, the back-off is only reset once the batch is applied: a stream that fails
+                    // at its first change does not count as a success.
+                    if self.follower.batch_due_at().is_none() {
+                        backoff.reset();
                     }
                 }
-                // What was heard whole before its end is in force too.
+                // Changes that were received completely come into force even if the stream ends after them.
                 Ok(BodyRead::End) => {
-                    self.apply()?;
-                    return Err(other("its end"));
+                    self.apply_batch()?;
+                    return Err(io_error("the stream ended"));
                 }
                 Ok(BodyRead::Idle) => {}
                 Err(e) => {
-                    self.apply()?;
+                    self.apply_batch()?;
                     return Err(e);
                 }
             }
-            if self.follow.batch_due_at().is_some_and(|t| t <= self.clock.now()) {
-                self.apply()?;
-                retry.reset();
+            if self.follower.batch_due_at().is_some_and(|t| t <= self.clock.now()) {
+                self.apply_batch()?;
+                backoff.reset();
             }
-            self.beat();
+            self.do_maintenance();
         }
     }
 
-    fn heard(&mut self, event: Event) -> io::Result<()> {
+    fn handle_event(&mut self, event: Event) -> io::Result<()> {
         if event.name != "change" {
             return Ok(());
         }
         match change_json::decode(&event.data) {
-            Ok(n) => self.follow.receive(n, self.clock.now()),
-            Err(why) => {
-                tracing::error!("catalogue: event {:?}: {why}", event.id);
-                // What it said is missing: it is asked for again, and if it is no better then, all is fetched.
-                self.apply()?;
-                self.follow.change_unreadable();
-                return Err(other(why));
+            Ok(change) => self.follower.receive(change, self.clock.now()),
+            Err(reason) => {
+                tracing::error!("catalogue: event {:?}: {reason}", event.id);
+                // The change is requested again; if it is still unreadable then, a snapshot is fetched.
+                self.apply_batch()?;
+                self.follower.change_unreadable();
+                return Err(io_error(reason));
             }
         }
-        // A burst longer than a batch is applied as it comes.
-        if self.follow.batch_due_at() == Some(f64::NEG_INFINITY) {
-            self.apply()?;
+        // A full batch is applied at once.
+        if self.follower.batch_due_at() == Some(f64::NEG_INFINITY) {
+            self.apply_batch()?;
         }
         Ok(())
     }
 
-    /// Puts the gathered changes in force: whole and on the disk, or not at all.
-    fn apply(&mut self) -> io::Result<()> {
-        let batch = self.follow.take_batch();
+    /// Puts the pending changes in force, after they are written to disk. If one is rejected, none is applied.
+    fn apply_batch(&mut self) -> io::Result<()> {
+        let batch = self.follower.take_batch();
         if batch.is_empty() {
             return Ok(());
         }
-        let began = Instant::now();
+        let step_start = Instant::now();
         let next = match self.writer.current().load().with_changes(&batch) {
             Ok(next) => next,
-            Err(fault) => {
-                tracing::warn!(target: "walnutline::mode", "catalogue: {fault}");
-                self.follow.batch_rejected(&fault);
-                return Err(other(fault));
+            Err(error) => {
+                tracing::warn!(target: "walnutline::mode", "catalogue: {error}");
+                self.follower.batch_rejected(&error);
+                return Err(io_error(error));
             }
         };
         if let Some(store) = &self.store {
-            if let Err(fault) = store.append(&batch) {
-                // Better new and not kept than old: what is on the disk stays whole, and lacks these.
-                tracing::error!(target: "walnutline::mode", "catalogue is no longer kept: {fault}");
+            if let Err(error) = store.append(&batch) {
+                // A current catalogue in memory is better than an outdated one. The store stays consistent, without
+                // these and later changes.
+                tracing::error!(target: "walnutline::mode", "catalogue is no longer kept: {error}");
                 self.store = None;
             }
         }
-        self.since += batch.len() as u64;
-        self.follow.mark_applied(next.number());
+        self.changes_since_snapshot += batch.len() as u64;
+        self.follower.mark_applied(next.number());
         self.writer.publish(next);
-        rest(began);
+        pause_after_step(step_start);
         Ok(())
     }
 }
 
-/// Leaves the processor to others after a piece of work.
-fn rest(began: Instant) {
-    let worked = began.elapsed().as_secs_f64() * 1_000.0;
-    std::thread::sleep(Duration::from_secs_f64(follower::pause_after(worked) / 1_000.0));
+/// Pauses after a step of work that began at `step_start`, so that other threads get the processor.
+fn pause_after_step(step_start: Instant) {
+    let worked_ms = step_start.elapsed().as_secs_f64() * 1_000.0;
+    std::thread::sleep(Duration::from_secs_f64(follower::pause_after(worked_ms) / 1_000.0));
 }
 
-/// Puts this thread behind all that answer viewers: it runs where a processor has nothing else to do.
-fn stand_back() {
+/// Lets this thread run only where a processor is idle otherwise, so that it does not delay answers to viewers.
+fn lower_thread_priority() {
     let param = libc::sched_param { sched_priority: 0 };
-    // Sound: a call that reads `param` and concerns this thread alone.
-    let done = unsafe { libc::sched_setscheduler(0, libc::SCHED_IDLE, &param) };
-    if done != 0 {
-        tracing::debug!("catalogue: the thread does not stand back: {}", io::Error::last_os_error());
+    // SAFETY: the call only reads `param` and affects this thread alone.
+    let result = unsafe { libc::sched_setscheduler(0, libc::SCHED_IDLE, &param) };
+    if result != 0 {
+        tracing::debug!("catalogue: thread priority could not be lowered: {}", io::Error::last_os_error());
     }
 }
 
-fn other(e: impl std::fmt::Display) -> io::Error {
+fn io_error(e: impl std::fmt::Display) -> io::Error {
     io::Error::other(e.to_string())
 }
 
-fn write_counts(file: &Path, counts: &DifferenceCounts) -> io::Result<()> {
+/// Writes the counts as JSON, one count a line, and replaces the file atomically.
+fn write_difference_counts(file: &Path, counts: &DifferenceCounts) -> io::Result<()> {
     let line = |(kind, server, n): &(DifferenceKind, Option<ServerId>, u64)| {
         serde_json::json!({ "sort": kind.name(), "box": server.map(|s| s.0), "count": n }).to_string()
     };
     let lines: Vec<String> = counts.iter().map(line).collect();
-    let part = file.with_extension("json.new");
-    std::fs::write(&part, format!("[{}]\n", lines.join(",\n")))?;
-    std::fs::rename(&part, file)
+    let new_file = file.with_extension("json.new");
+    std::fs::write(&new_file, format!("[{}]\n", lines.join(",\n")))?;
+    std::fs::rename(&new_file, file)
 }
--- a/crates/front/src/connection_monitor.rs
+++ b/crates/front/src/connection_monitor.rs
@@ -1,9 +1,11 @@
-//! Cuts off viewers' connections that are overdue. One thread looks over all of them several times a second: each
-//! costs it a few loads. Coroutines that have to wait a moment wait for its next look.
+//! Times out viewers' connections.
 //!
-//! The coroutine library's own timers are not used. Of many reads with unlike time-outs some never ended; and a sleep
-//! hands its coroutine to the timer's thread before it is done with it, so that one of no length may be over, and
-//! its memory gone, while the sleep still writes there.
+//! One thread scans all connections several times a second, which costs it a few loads for each. Coroutines that have
+//! to wait a moment wait for its next scan.
+//!
+//! The timers of the coroutine library are not used, because they have two faults. Among many reads with different
+//! time-outs, some never ended. And a sleep passes its coroutine to the timer's thread before it has finished with it
+//! itself: a sleep of zero length may be over, and the coroutine's memory freed, while the sleep still writes to it.
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
@@ -11,110 +13,125 @@
 
 use crate::clock::Clock;
 
+/// Time between two scans.
 const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
+/// A connection that the monitor times out.
 pub trait Monitored: Send + Sync {
-    /// Whether it has to be cut off now; says so once.
+    /// Whether the connection has timed out; true only once.
     fn take_expired(&self, now: f64) -> bool;
+    /// Ends the connection's reads.
     fn shut_down(&self);
 }
 
+/// Monitors all viewers' connections.
 #[derive(Default)]
 pub struct ConnectionMonitor {
     connections: Mutex<Vec<Weak<dyn Monitored>>>,
+    /// Coroutines that wait for the next scan.
     waiting: Mutex<Vec<may::coroutine::Coroutine>>,
 }
 
 impl ConnectionMonitor {
+    /// Starts the monitor's thread.
     pub fn start(clock: Clock) -> std::io::Result<Arc<Self>> {
-        let watch = Arc::new(ConnectionMonitor::default());
-        let w = watch.clone();
+        let monitor = Arc::new(ConnectionMonitor::default());
+        let scanner = monitor.clone();
         std::thread::Builder::new().name("watch".into()).spawn(move || loop {
             std::thread::sleep(SCAN_INTERVAL);
-            w.scan(clock.now());
+            scanner.scan(clock.now());
         })?;
-        Ok(watch)
+        Ok(monitor)
     }
 
-    pub fn register<W: Monitored + 'static>(&self, one: &Arc<W>) {
-        let one: Weak<dyn Monitored> = Arc::downgrade(&(one.clone() as Arc<dyn Monitored>));
-        self.connections.lock().unwrap_or_else(|e| e.into_inner()).push(one);
+    /// Adds a connection, which is monitored until it is dropped.
+    pub fn register<C: Monitored + 'static>(&self, connection: &Arc<C>) {
+        let connection: Weak<dyn Monitored> = Arc::downgrade(&(connection.clone() as Arc<dyn Monitored>));
+        self.connections.lock().unwrap_or_else(|e| e.into_inner()).push(connection);
     }
 
-    /// Lets a coroutine wait for the next look.
+    /// Suspends the calling coroutine until the next scan.
     pub fn wait_for_next_scan(&self) {
         self.waiting.lock().unwrap_or_else(|e| e.into_inner()).push(may::coroutine::current());
         may::coroutine::park();
     }
 
+    /// Resumes the waiting coroutines and shuts down the connections that have timed out.
     fn scan(&self, now: f64) {
-        let pausing = std::mem::take(&mut *self.waiting.lock().unwrap_or_else(|e| e.into_inner()));
-        pausing.iter().for_each(|c| c.unpark());
-        let mut cut = Vec::new();
-        self.connections.lock().unwrap_or_else(|e| e.into_inner()).retain(|one| match one.upgrade() {
-            Some(one) => {
-                if one.take_expired(now) {
-                    cut.push(one);
+        let waiting = std::mem::take(&mut *self.waiting.lock().unwrap_or_else(|e| e.into_inner()));
+        waiting.iter().for_each(|c| c.unpark());
+        let mut expired = Vec::new();
+        self.connections.lock().unwrap_or_else(|e| e.into_inner()).retain(|weak| match weak.upgrade() {
+            Some(connection) => {
+                if connection.take_expired(now) {
+                    expired.push(connection);
                 }
                 true
             }
             None => false,
         });
-        cut.into_iter().for_each(|one| one.shut_down());
+        expired.into_iter().for_each(|connection| connection.shut_down());
     }
 }
 
-/// What a viewer's connection is waiting for, and since when.
+/// What a viewer's connection waits for, and since when.
 pub struct ConnectionTimer {
+    /// When the current wait began: Unix milliseconds, as the bits of an `f64`.
     since: AtomicU64,
-    /// A request has begun to come in and is not whole.
-    partial: AtomicBool,
-    /// Requests read and not yet answered.
-    waiting: AtomicUsize,
-    over: AtomicBool,
+    /// Whether a request is partially received.
+    receiving: AtomicBool,
+    /// Number of requests that are read and not yet answered.
+    unanswered: AtomicUsize,
+    expired: AtomicBool,
 }
 
 impl ConnectionTimer {
+    /// The timer of a connection that was opened now.
     pub fn new(now: f64) -> Self {
         ConnectionTimer {
             since: AtomicU64::new(now.to_bits()),
-            partial: AtomicBool::new(false),
-            waiting: AtomicUsize::new(0),
-            over: AtomicBool::new(false),
+            receiving: AtomicBool::new(false),
+            unanswered: AtomicUsize::new(0),
+            expired: AtomicBool::new(false),
         }
     }
 
-    /// A request begins to come in; or, where one was just read whole, whether the next one already has.
-    pub fn set_receiving(&self, partial: bool, now: f64) {
+    /// Records that a request begins to arrive; or, after a complete request, whether the next one already has.
+    pub fn set_receiving(&self, receiving: bool, now: f64) {
         self.since.store(now.to_bits(), Ordering::SeqCst);
-        self.partial.store(partial, Ordering::SeqCst);
+        self.receiving.store(receiving, Ordering::SeqCst);
     }
 
+    /// Records that a request was read and waits for its answer.
     pub fn request_received(&self) {
-        self.waiting.fetch_add(1, Ordering::SeqCst);
+        self.unanswered.fetch_add(1, Ordering::SeqCst);
     }
 
+    /// Records that a request was answered. The idle time begins unless the next request is already arriving.
     pub fn response_sent(&self, now: f64) {
-        if !self.partial.load(Ordering::SeqCst) {
+        if !self.receiving.load(Ordering::SeqCst) {
             self.since.store(now.to_bits(), Ordering::SeqCst);
         }
-        self.waiting.fetch_sub(1, Ordering::SeqCst);
+        self.unanswered.fetch_sub(1, Ordering::SeqCst);
     }
 
+    /// Whether [`Self::take_expired`] has returned true.
     pub fn has_expired(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+        self.expired.load(Ordering::SeqCst)
     }
 
-    /// A request that comes in has its time from its first byte on; between requests there is the idle time;
-    /// while an answer is owed there is no limit here.
+    /// Whether the connection has timed out; true only once.
+    ///
+    /// A request that is being received has the request time-out, from its first byte. Between requests the idle
+    /// time-out applies. While a request waits for its answer there is no limit here.
     pub fn take_expired(&self, now: f64, limits: &ViewerLimits) -> bool {
-        let allowed = match (self.partial.load(Ordering::SeqCst), self.waiting.load(Ordering::SeqCst)) {
+        let timeout = match (self.receiving.load(Ordering::SeqCst), self.unanswered.load(Ordering::SeqCst)) {
             (true, _) => limits.request_timeout_ms,
             (false, 0) => limits.idle_timeout_ms,
             _ => return false,
         };
         let since = f64::from_bits(self.since.load(Ordering::SeqCst));
-        now - since >= allowed && !self.over.swap(true, Ordering::SeqCst)
+        now - since >= timeout && !self.expired.swap(true, Ordering::SeqCst)
     }
 }
 
@@ -123,7 +140,7 @@
     use super::*;
 
     #[test]
-    fn each_state_has_its_own_time() {
+    fn each_state_has_its_own_timeout() {
         let limits = ViewerLimits {
             max_connections: 1,
             max_header_bytes: 1,
@@ -133,19 +150,19 @@
             max_pipelined: 1,
             write_timeout_ms: 1.0,
         };
-        let p = ConnectionTimer::new(0.0);
-        assert!(!p.take_expired(59_999.0, &limits));
-        p.set_receiving(true, 59_999.0);
-        assert!(!p.take_expired(61_998.0, &limits));
-        // Read whole and taken: no limit while its answer is owed.
-        p.set_receiving(false, 61_000.0);
-        p.request_received();
-        assert!(!p.take_expired(1e9, &limits));
-        p.response_sent(1e9);
-        assert!(!p.take_expired(1e9 + 59_999.0, &limits));
-        p.set_receiving(true, 1e9 + 59_999.0);
-        assert!(p.take_expired(1e9 + 61_999.0, &limits));
-        assert!(!p.take_expired(2e9, &limits), "said once");
-        assert!(p.has_expired());
+        let timer = ConnectionTimer::new(0.0);
+        assert!(!timer.take_expired(59_999.0, &limits));
+        timer.set_receiving(true, 59_999.0);
+        assert!(!timer.take_expired(61_998.0, &limits));
+        // The request is complete: no limit while it waits for its answer.
+        timer.set_receiving(false, 61_000.0);
+        timer.request_received();
+        assert!(!timer.take_expired(1e9, &limits));
+        timer.response_sent(1e9);
+        assert!(!timer.take_expired(1e9 + 59_999.0, &limits));
+        timer.set_receiving(true, 1e9 + 59_999.0);
+        assert!(timer.take_expired(1e9 + 61_999.0, &limits));
+        assert!(!timer.take_expired(2e9, &limits), "reported only once");
+        assert!(timer.has_expired());
     }
 }
--- a/crates/front/src/http_client.rs
+++ b/crates/front/src/http_client.rs
@@ -1,89 +1,98 @@
-//! Long answers of the list and of a catalogue's publisher, read as they come. HTTP/1.0, so that they come plain and not
-//! in chunks. For threads of their own: reads wait.
+//! A client for long responses, which are read as they arrive: the list of boxes and the catalogue's publisher.
+//!
+//! It speaks HTTP/1.0, so that responses are not chunked. Reads block, so it is for threads and not for coroutines.
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use walnutline_desk::session_manager::Timeouts;
 
-/// Longest header of an answer.
-const HEADER: usize = 16 * 1024;
-/// Bytes read at once.
-const READ: usize = 256 * 1024;
-/// How long one read waits, unless it is told otherwise.
-const BEAT: Duration = Duration::from_millis(200);
+/// Maximum size of a response's header.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes of one read of the header.
+const READ_BYTES: usize = 256 * 1024;
+/// Time-out of one read of the body, unless [`ResponseBody::set_read_timeout`] changes it.
+const DEFAULT_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// An answer whose header was good.
+/// The body of a successful response.
 pub struct ResponseBody {
     stream: TcpStream,
+    /// What the last read returned is at its start.
     pub buffer: Vec<u8>,
-    /// What came with the header.
-    first: Vec<u8>,
-    /// How long one read waits, when anything was last heard, and for how long that may be ago.
-    wait: Duration,
-    heard: Instant,
-    silence: Duration,
+    /// Bytes of the body that were received with the header.
+    unread: Vec<u8>,
+    read_timeout: Duration,
+    last_received_at: Instant,
+    /// The body is given up when nothing is received for this long.
+    max_silence: Duration,
 }
 
 impl ResponseBody {
-    /// Asks; `header`: further lines of it. Returns once the header of a good answer is read.
-    pub fn open(at: SocketAddr, path: &str, header: &str, waits: Timeouts) -> io::Result<ResponseBody> {
-        let within = |ms: f64| Duration::from_secs_f64(ms / 1_000.0);
-        let mut stream = TcpStream::connect_timeout(&at, within(waits.connect))?;
-        stream.set_read_timeout(Some(within(waits.max_silence)))?;
-        stream.set_write_timeout(Some(within(waits.max_silence)))?;
-        stream.write_all(format!("GET {path} HTTP/1.0\r\nHost: {at}\r\n{header}\r\n").as_bytes())?;
-        let (mut bytes, mut head) = (vec![0; READ + HEADER], Vec::new());
-        let end = loop {
-            let n = stream.read(&mut bytes[..READ])?;
-            if n == 0 || head.len() > HEADER {
-                return Err(io::Error::other("no whole header"));
+    /// Sends a GET request and reads the response's header; any status but 200 is an error. `headers` are additional
+    /// header lines, each with its line end.
+    pub fn open(
+        address: SocketAddr,
+        path: &str,
+        headers: &str,
+        timeouts: Timeouts,
+    ) -> io::Result<ResponseBody> {
+        let duration = |ms: f64| Duration::from_secs_f64(ms / 1_000.0);
+        let mut stream = TcpStream::connect_timeout(&address, duration(timeouts.connect))?;
+        stream.set_read_timeout(Some(duration(timeouts.max_silence)))?;
+        stream.set_write_timeout(Some(duration(timeouts.max_silence)))?;
+        stream.write_all(format!("GET {path} HTTP/1.0\r\nHost: {address}\r\n{headers}\r\n").as_bytes())?;
+        // The buffer has room for everything that can be received with the header.
+        let (mut bytes, mut header) = (vec![0; READ_BYTES + MAX_HEADER_BYTES], Vec::new());
+        let body_start = loop {
+            let n = stream.read(&mut bytes[..READ_BYTES])?;
+            if n == 0 || header.len() > MAX_HEADER_BYTES {
+                return Err(io::Error::other("incomplete or oversized response header"));
             }
-            head.extend_from_slice(&bytes[..n]);
-            if let Some(end) = head.windows(4).position(|w| w == b"\r\n\r\n") {
-                break end + 4;
+            header.extend_from_slice(&bytes[..n]);
+            if let Some(header_end) = header.windows(4).position(|w| w == b"\r\n\r\n") {
+                break header_end + 4;
             }
         };
-        if !head.starts_with(b"HTTP/1.") || head.get(9..12) != Some(b"200") {
-            let first = String::from_utf8_lossy(&head[..head.len().min(60)]).into_owned();
-            return Err(io::Error::other(format!("answered {:?}", first.lines().next().unwrap_or(""))));
+        if !header.starts_with(b"HTTP/1.") || header.get(9..12) != Some(b"200") {
+            let start = String::from_utf8_lossy(&header[..header.len().min(60)]).into_owned();
+            return Err(io::Error::other(format!("answered {:?}", start.lines().next().unwrap_or(""))));
         }
         let mut body = ResponseBody {
             stream,
             buffer: bytes,
-            first: head.split_off(end),
-            wait: Duration::ZERO,
-            heard: Instant::now(),
-            silence: within(waits.max_silence),
+            unread: header.split_off(body_start),
+            read_timeout: Duration::ZERO,
+            last_received_at: Instant::now(),
+            max_silence: duration(timeouts.max_silence),
         };
-        body.set_read_timeout(BEAT)?;
+        body.set_read_timeout(DEFAULT_READ_TIMEOUT)?;
         Ok(body)
     }
 
-    /// How long one read waits.
-    pub fn set_read_timeout(&mut self, wait: Duration) -> io::Result<()> {
-        if self.wait != wait {
-            self.stream.set_read_timeout(Some(wait))?;
-            self.wait = wait;
+    /// Sets the time-out of one read.
+    pub fn set_read_timeout(&mut self, timeout: Duration) -> io::Result<()> {
+        if self.read_timeout != timeout {
+            self.stream.set_read_timeout(Some(timeout))?;
+            self.read_timeout = timeout;
         }
         Ok(())
     }
 
-    /// Reads what comes next into `bytes`; an error also where nothing was heard for too long.
+    /// Reads the next bytes into [`Self::buffer`]. Silence for longer than [`Timeouts::max_silence`] is an error.
     pub fn read(&mut self) -> io::Result<BodyRead> {
-        if !self.first.is_empty() {
-            let n = self.first.len();
-            self.buffer[..n].copy_from_slice(&self.first);
-            self.first.clear();
+        if !self.unread.is_empty() {
+            let n = self.unread.len();
+            self.buffer[..n].copy_from_slice(&self.unread);
+            self.unread.clear();
             return Ok(BodyRead::Data(n));
         }
         match self.stream.read(&mut self.buffer) {
             Ok(0) => Ok(BodyRead::End),
             Ok(n) => {
-                self.heard = Instant::now();
+                self.last_received_at = Instant::now();
                 Ok(BodyRead::Data(n))
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if self.heard.elapsed() > self.silence {
+                if self.last_received_at.elapsed() > self.max_silence {
                     return Err(e);
                 }
                 Ok(BodyRead::Idle)
@@ -93,11 +102,12 @@
     }
 }
 
-/// What a read brought.
+/// Outcome of a read.
 pub enum BodyRead {
-    /// So many, at the beginning of [`Body::bytes`].
+    /// This many bytes were read; they are at the start of [`ResponseBody::buffer`].
     Data(usize),
-    /// Nothing came within the time of one read.
+    /// Nothing was received within the time-out of one read.
     Idle,
+    /// The server closed the connection, which in HTTP/1.0 ends the body.
     End,
 }
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -1,14 +1,15 @@
-//! What a viewer is answered: manifests for sessions that play, and the other final answers.
+//! The responses to viewers: manifests for sessions that play, and the other final answers.
 use crate::http::Response;
 use crate::hub::{PlayingSession, SessionReply};
 use crate::Shared;
 use walnutline_dash::mpd;
 use walnutline_gate::authorization::Refusal;
 
+/// The response for a reply of the hub.
 pub fn from_reply(shared: &Shared, reply: &SessionReply) -> Response {
     match reply {
-        SessionReply::Playing(plays) => {
-            manifest(shared, plays).unwrap_or_else(|why| Response::plain_text(500, &why))
+        SessionReply::Playing(session) => {
+            manifest(shared, session).unwrap_or_else(|reason| Response::plain_text(500, &reason))
         }
         SessionReply::Busy { retry_after } => busy("busy", retry_after.unwrap_or(0.0)),
         SessionReply::TornDown => Response::plain_text(504, "torn down"),
@@ -16,49 +17,54 @@
     }
 }
 
-/// A busy reply. `Retry-After` counts whole seconds (RFC 9110); the finer time stands beside it.
-pub fn busy(why: &str, retry_after: f64) -> Response {
-    let mut r = Response::plain_text(503, why);
-    r.headers.push(("Retry-After", format!("{}", (retry_after / 1_000.0).ceil())));
-    r.headers.push(("Retry-After-Ms", format!("{retry_after:.0}")));
-    r
+/// A busy reply. `Retry-After` has whole seconds (RFC 9110), so `Retry-After-Ms` states the exact time.
+pub fn busy(reason: &str, retry_after_ms: f64) -> Response {
+    let mut response = Response::plain_text(503, reason);
+    response.headers.push(("Retry-After", format!("{}", (retry_after_ms / 1_000.0).ceil())));
+    response.headers.push(("Retry-After-Ms", format!("{retry_after_ms:.0}")));
+    response
 }
 
+/// What a busy reply asks the viewer to wait when the refusal is only temporary.
+const REFUSAL_RETRY_AFTER_MS: f64 = 1_000.0;
+
+/// The response to a request that was not authorized.
 pub fn refused(refusal: &Refusal) -> Response {
     let status = refusal.http_status();
     if status == 503 {
-        return busy(refusal.reason(), 1_000.0);
+        return busy(refusal.reason(), REFUSAL_RETRY_AFTER_MS);
     }
-    let mut r = Response::plain_text(status, refusal.reason());
+    let mut response = Response::plain_text(status, refusal.reason());
     if status == 401 {
         let error = if refusal.reason().contains("proof") { "invalid_dpop_proof" } else { "invalid_token" };
-        r.headers.push(("WWW-Authenticate", format!("DPoP error=\"{error}\", algs=\"EdDSA\"")));
+        response.headers.push(("WWW-Authenticate", format!("DPoP error=\"{error}\", algs=\"EdDSA\"")));
     }
-    r
+    response
 }
 
-fn manifest(shared: &Shared, plays: &PlayingSession) -> Result<Response, String> {
+/// The manifest of a session that plays.
+fn manifest(shared: &Shared, session: &PlayingSession) -> Result<Response, String> {
     let now = shared.clock.now();
-    let ticket = &plays.context;
-    let token = ticket.session_token(shared, plays.server, now).ok_or("no session key is in force")?;
-    let group = &shared.service_groups[ticket.group_index];
-    let in_force = group.lowest_rung..=plays.rung.max(group.lowest_rung);
-    let ladder = ticket.title_rates.as_deref().unwrap_or(&shared.ladder_kb_per_s);
-    let rate = |rung: u8| Some((rung, ladder.get(rung as usize)? * group.rate_scale));
-    let told = mpd::ManifestParams {
-        title: &ticket.title,
-        base_url: format!("{}/s/{}/{token}/", plays.media_url, ticket.id.0),
-        location: format!("{}/s/{}.mpd?CAT={token}", shared.public_url, ticket.id.0),
-        started_at_ms: ticket.received_at,
+    let context = &session.context;
+    let token = context.session_token(shared, session.server, now).ok_or("no session key is in force")?;
+    let group = &shared.service_groups[context.group_index];
+    let offered_rungs = group.lowest_rung..=session.rung.max(group.lowest_rung);
+    let rates = context.title_rates.as_deref().unwrap_or(&shared.ladder_kb_per_s);
+    let scaled_rate = |rung: u8| Some((rung, rates.get(rung as usize)? * group.rate_scale));
+    let params = mpd::ManifestParams {
+        title: &context.title,
+        base_url: format!("{}/s/{}/{token}/", session.media_url, context.id.0),
+        location: format!("{}/s/{}.mpd?CAT={token}", shared.public_url, context.id.0),
+        started_at_ms: context.received_at,
         published_at_ms: now,
         update_period_ms: shared.manifest.update_period_ms,
         segment_duration_ms: shared.manifest.segment_duration_ms,
-        rungs: in_force.filter_map(rate).collect(),
+        rungs: offered_rungs.filter_map(scaled_rate).collect(),
     };
     Ok(Response {
         status: 200,
         headers: Vec::new(),
-        body: mpd::to_xml(&told)?,
+        body: mpd::to_xml(&params)?,
         content_type: "application/dash+xml",
     })
 }
--- a/crates/front/tests/stack.rs
+++ b/crates/front/tests/stack.rs
@@ -1,6 +1,6 @@
-//! The stack that a coroutine needs for its deepest work: the token of the greatest nesting that is read, the
-//! longest proof, a manifest of a long ladder. All of it has to fit a quarter of the daemon's stack, in the
-//! unoptimised build too, which takes more.
+//! The stack that coroutines need for their deepest calls: decoding a token with the deepest nesting that is accepted
+//! and the longest proof, and writing the manifest of a long ladder. These have to fit in a quarter of the daemon's
+//! stack, also in the unoptimised build, which needs more.
 use may::coroutine::Builder;
 use walnutline_dash::{encode_base64url, mpd, proof, token, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn the_deepest_work_fits_a_quarter_of_the_stack() {
+fn the_deepest_calls_fit_in_a_quarter_of_the_stack() {
     let work = || {
         let (issuer, viewer) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[3; 32]));
-        let text = token::mint(&claims(), b"k1", &issuer);
-        token::verify(&text, |_| Ok(issuer.verifying_key())).unwrap();
-        for head in [0x81u8, 0xa1, 0xc1, 0x9f, 0x5f] {
-            let deep = encode_base64url(&vec![head; token::MAX_TOKEN_BYTES * 3 / 4]);
-            assert!(token::verify(&deep, |_| Err(KeyLookupError::Unknown)).is_err());
+        let token = token::mint(&claims(), b"k1", &issuer);
+        token::verify(&token, |_| Ok(issuer.verifying_key())).unwrap();
+        for cbor_head in [0x81u8, 0xa1, 0xc1, 0x9f, 0x5f] {
+            let nested = encode_base64url(&vec![cbor_head; token::MAX_TOKEN_BYTES * 3 / 4]);
+            assert!(token::verify(&nested, |_| Err(KeyLookupError::Unknown)).is_err());
         }
-        let made = ProofClaims {
+        let proof_claims = ProofClaims {
             public_key: claims().viewer_key,
             id: "j".repeat(900),
             method: "GET".into(),
@@ -38,8 +38,8 @@
             issued_at: 1.0,
             token_hash: [0; 32],
         };
-        proof::verify(&proof::mint(&made, &viewer)).unwrap();
-        let told = mpd::ManifestParams {
+        proof::verify(&proof::mint(&proof_claims, &viewer)).unwrap();
+        let params = mpd::ManifestParams {
             title: "a",
             base_url: "http://b/".into(),
             location: "http://f/".into(),
@@ -49,10 +49,10 @@
             segment_duration_ms: 1.0,
             rungs: (0..64).map(|r| (r, 100.0)).collect(),
         };
-        mpd::to_xml(&told).unwrap();
+        mpd::to_xml(&params).unwrap();
     };
-    let quarter = walnutline_front::COROUTINE_STACK_WORDS / 4;
-    // An overflow hits the guard page and ends the test's process.
-    let coroutine = unsafe { Builder::new().stack_size(quarter).spawn(work) }.unwrap();
+    let stack_words = walnutline_front::COROUTINE_STACK_WORDS / 4;
+    // A stack overflow hits the guard page and ends the test process.
+    let coroutine = unsafe { Builder::new().stack_size(stack_words).spawn(work) }.unwrap();
     coroutine.join().unwrap();
 }
