--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -211,9 +211,9 @@
         /// A request that ends before its last byte is incomplete, not invalid.
         #[test]
         fn a_truncated_request_is_incomplete(cut in 0usize..60) {
-            let whole = "GET /m/a.mpd?wait=5 HTTP/1.1\r\nHost: a\r\nDPoP: some-proof\r\n\r\n";
-            let cut = cut.min(whole.len() - 1);
-            prop_assert_eq!(parse_request(&whole.as_bytes()[..cut], &LIMITS, 0.0), Ok(None));
+            let request = "GET /m/a.mpd?wait=5 HTTP/1.1\r\nHost: a\r\nDPoP: some-proof\r\n\r\n";
+            let cut = cut.min(request.len() - 1);
+            prop_assert_eq!(parse_request(&request.as_bytes()[..cut], &LIMITS, 0.0), Ok(None));
         }
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -39,9 +39,13 @@
 
 /// State that all threads and coroutines of one front share.
 pub struct Shared {
+    /// The clock of the process.
     pub clock: Clock,
+    /// Checks viewers' requests and issues session tokens.
     pub authorizer: Authorizer,
+    /// Limits on viewers' connections.
     pub viewer_limits: ViewerLimits,
+    /// Times that are written into manifests.
     pub manifest: ManifestSettings,
     /// Rate of each rung of the ladder.
     pub ladder_kb_per_s: Vec<f64>,
@@ -53,6 +57,7 @@
     pub catalogue: Option<Arc<catalogue::CatalogueHandle>>,
     /// Sends events to the hub.
     pub hub_events: crossbeam_channel::Sender<hub::HubEvent>,
+    /// Times out viewers' connections.
     pub monitor: Arc<connection_monitor::ConnectionMonitor>,
     /// Whether the front is stopping and accepts no more sessions.
     pub stopping: AtomicBool,
