--- a/crates/rehearsal/src/publisher.rs
+++ b/crates/rehearsal/src/publisher.rs
@@ -1,4 +1,4 @@
-//! The stand-in publisher of a catalogue: a whole one at `/snapshot`, changes as an event stream at `/changes`.
+//! The stand-in of a catalogue publisher: the whole catalogue at `/snapshot`, changes as an event stream at `/changes`.
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -8,141 +8,155 @@
 use walnutline_catalogue::{change_json, snapshot};
 use walnutline_control::event_stream::{self, Event};
 
-struct Inside {
-    now: Arc<Version>,
+struct PublisherState {
+    version: Arc<Version>,
+    /// All changes since the last replacement, the oldest first.
     changes: Vec<NumberedChange>,
-    /// What is said besides to streams that are open: for wrong streams.
-    also: Vec<Vec<NumberedChange>>,
-    /// Bytes of each snapshot that are flipped.
-    flip: Option<usize>,
-    snapshots: usize,
-    streams: usize,
+    /// Changes sent to open streams without a check, for faulty streams.
+    unchecked: Vec<Vec<NumberedChange>>,
+    /// Offset of the byte that is corrupted in each snapshot.
+    corrupt_offset: Option<usize>,
+    snapshot_count: usize,
+    stream_count: usize,
 }
 
+/// A publisher that serves a catalogue.
 pub struct Publisher {
-    inside: Mutex<Inside>,
-    more: Condvar,
+    state: Mutex<PublisherState>,
+    changed: Condvar,
 }
 
 impl Publisher {
-    pub fn start(v: Version) -> io::Result<(Arc<Publisher>, SocketAddr)> {
+    /// Serves a catalogue on a free port of the loopback address.
+    pub fn start(version: Version) -> io::Result<(Arc<Publisher>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let inside = Inside {
-            now: Arc::new(v),
+        let state = PublisherState {
+            version: Arc::new(version),
             changes: Vec::new(),
-            also: Vec::new(),
-            flip: None,
-            snapshots: 0,
-            streams: 0,
+            unchecked: Vec::new(),
+            corrupt_offset: None,
+            snapshot_count: 0,
+            stream_count: 0,
         };
-        let publisher = Arc::new(Publisher { inside: Mutex::new(inside), more: Condvar::new() });
-        let p = publisher.clone();
+        let publisher = Arc::new(Publisher { state: Mutex::new(state), changed: Condvar::new() });
+        let server = publisher.clone();
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                let p = p.clone();
-                std::thread::spawn(move || drop(p.serve(stream)));
+                let server = server.clone();
+                std::thread::spawn(move || drop(server.serve(stream)));
             }
         });
         Ok((publisher, address))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> MutexGuard<'_, PublisherState> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Changes the catalogue and tells of it; returns the new number.
+    /// Applies changes to the catalogue and publishes them; returns the number of the last one.
     pub fn apply_changes(&self, changes: impl IntoIterator<Item = Change>) -> Result<u64, String> {
-        let mut inside = self.lock();
-        let from = inside.now.number();
+        let mut state = self.lock();
+        let from = state.version.number();
         let numbered = (from + 1..).zip(changes).map(|(number, change)| NumberedChange { number, change });
         let batch: Vec<NumberedChange> = numbered.collect();
-        inside.now = Arc::new(inside.now.with_changes(&batch).map_err(|fault| fault.to_string())?);
-        inside.changes.extend(batch);
-        self.more.notify_all();
-        Ok(inside.now.number())
+        state.version = Arc::new(state.version.with_changes(&batch).map_err(|error| error.to_string())?);
+        state.changes.extend(batch);
+        self.changed.notify_all();
+        Ok(state.version.number())
     }
 
+    /// The present catalogue.
     pub fn version(&self) -> Arc<Version> {
-        self.lock().now.clone()
+        self.lock().version.clone()
     }
 
-    /// Says something to the streams that are open, right or wrong.
+    /// Sends changes to the open streams, valid or not, without applying them.
     pub fn send_unchecked(&self, changes: Vec<NumberedChange>) {
-        self.lock().also.push(changes);
-        self.more.notify_all();
+        self.lock().unchecked.push(changes);
+        self.changed.notify_all();
     }
 
-    /// Another catalogue in place of this one; changes before it are forgotten.
-    pub fn replace(&self, v: Version) {
-        let mut inside = self.lock();
-        (inside.now, inside.changes) = (Arc::new(v), Vec::new());
-        self.more.notify_all();
+    /// Replaces the catalogue; earlier changes are discarded.
+    pub fn replace(&self, version: Version) {
+        let mut state = self.lock();
+        (state.version, state.changes) = (Arc::new(version), Vec::new());
+        self.changed.notify_all();
     }
 
-    /// Flips a byte of every snapshot given from now on.
-    pub fn corrupt_snapshot_byte(&self, at: Option<usize>) {
-        self.lock().flip = at;
+    /// Corrupts the byte at an offset of every snapshot served from now on; `None` corrupts none.
+    pub fn corrupt_snapshot_byte(&self, offset: Option<usize>) {
+        self.lock().corrupt_offset = offset;
     }
 
-    /// Snapshots given out and streams opened so far.
+    /// Numbers of snapshots served and streams opened so far.
     pub fn request_counts(&self) -> (usize, usize) {
-        let inside = self.lock();
-        (inside.snapshots, inside.streams)
+        let state = self.lock();
+        (state.snapshot_count, state.stream_count)
     }
 
+    /// Answers one request.
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         let mut lines = BufReader::new(stream.try_clone()?).lines().map_while(Result::ok);
-        let first = lines.next().unwrap_or_default();
-        let head: Vec<String> = lines.take_while(|l| !l.is_empty()).collect();
-        let after = head.iter().find_map(|l| l.strip_prefix("Last-Event-ID: ")?.parse().ok()).unwrap_or(0);
+        let request_line = lines.next().unwrap_or_default();
+        let headers: Vec<String> = lines.take_while(|l| !l.is_empty()).collect();
+        let last_event_id =
+            headers.iter().find_map(|line| line.strip_prefix("Last-Event-ID: ")?.parse().ok()).unwrap_or(0);
         stream.write_all(b"HTTP/1.0 200 OK\r\n\r\n")?;
-        if first.contains("/snapshot") {
-            let (now, flip) = {
-                let mut inside = self.lock();
-                inside.snapshots += 1;
-                (inside.now.clone(), inside.flip)
+        if request_line.contains("/snapshot") {
+            let (version, corrupt_offset) = {
+                let mut state = self.lock();
+                state.snapshot_count += 1;
+                (state.version.clone(), state.corrupt_offset)
             };
-            let mut at = 0;
-            for mut piece in snapshot::encode(&now) {
-                if let Some(b) = flip.and_then(|f| piece.get_mut(usize::checked_sub(f, at)?)) {
-                    *b ^= 1;
+            let mut offset = 0;
+            for mut chunk in snapshot::encode(&version) {
+                if let Some(byte) = corrupt_offset.and_then(|c| chunk.get_mut(usize::checked_sub(c, offset)?))
+                {
+                    *byte ^= 1;
                 }
-                at += piece.len();
-                stream.write_all(&piece)?;
+                offset += chunk.len();
+                stream.write_all(&chunk)?;
             }
             return Ok(());
         }
-        self.stream(stream, after)
+        self.send_changes(stream, last_event_id)
     }
 
-    fn stream(&self, mut stream: TcpStream, mut told: u64) -> io::Result<()> {
-        let mut inside = self.lock();
-        inside.streams += 1;
-        let mut also = inside.also.len();
+    /// Sends all changes after a number, until the connection ends or the changes are no longer available.
+    fn send_changes(&self, mut stream: TcpStream, mut last_sent: u64) -> io::Result<()> {
+        let mut state = self.lock();
+        state.stream_count += 1;
+        let mut unchecked_sent = state.unchecked.len();
         loop {
-            let oldest = inside.changes.first().map_or(inside.now.number() + 1, |c| c.number);
-            let too_old = told + 1 < oldest || told > inside.now.number();
-            let from = inside.changes.partition_point(|c| c.number <= told);
-            let mut say: Vec<NumberedChange> = inside.changes[from..].iter().take(1_000).cloned().collect();
-            told = say.last().map_or(told, |c| c.number);
-            say.extend(inside.also[also..].iter().flatten().cloned());
-            also = inside.also.len();
-            if say.is_empty() && !too_old {
-                let (woken, waited) =
-                    self.more.wait_timeout(inside, Duration::from_secs(1)).unwrap_or_else(|e| e.into_inner());
-                inside = woken;
-                if waited.timed_out() {
-                    drop(inside);
+            let oldest = state.changes.first().map_or(state.version.number() + 1, |c| c.number);
+            let too_old = last_sent + 1 < oldest || last_sent > state.version.number();
+            let from = state.changes.partition_point(|c| c.number <= last_sent);
+            let mut batch: Vec<NumberedChange> = state.changes[from..].iter().take(1_000).cloned().collect();
+            last_sent = batch.last().map_or(last_sent, |c| c.number);
+            batch.extend(state.unchecked[unchecked_sent..].iter().flatten().cloned());
+            unchecked_sent = state.unchecked.len();
+            if batch.is_empty() && !too_old {
+                let (guard, wait) = self
+                    .changed
+                    .wait_timeout(state, Duration::from_secs(1))
+                    .unwrap_or_else(|e| e.into_inner());
+                state = guard;
+                if wait.timed_out() {
+                    drop(state);
                     stream.write_all(b": all as before\n")?;
-                    inside = self.lock();
+                    state = self.lock();
                 }
                 continue;
             }
-            drop(inside);
+            drop(state);
             let mut text = String::new();
-            for n in &say {
-                let event = Event { id: Some(n.number), name: "change".into(), data: change_json::encode(n) };
+            for change in &batch {
+                let event = Event {
+                    id: Some(change.number),
+                    name: "change".into(),
+                    data: change_json::encode(change),
+                };
                 text += &event_stream::encode(&event);
             }
             if too_old {
@@ -152,7 +166,7 @@
             if too_old {
                 return Ok(());
             }
-            inside = self.lock();
+            state = self.lock();
         }
     }
 }
