--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,11 +1,15 @@
-//! The rehearsal kit: stand-ins for all that a front talks to, scripts of trouble, and the auditor. It knows the
-//! codecs, never the front or its decisions: what it judges by is what it saw on its own sockets.
+//! Rehearsals: stand-ins for everything that a front node talks to, scripts of faults, and the auditor of the records.
+//! This crate uses the codecs of the wires, never the front or its decisions: the auditor judges only what the stand-ins
+//! observed on their own sockets.
 //!
-//! - [`script`]: the language of bad days. [`runner`]: a day played on a depot with real fronts.
-//! - [`deployment`]: terms and documents of what is played. [`catalogue`]: one of its titles, and what it brings.
-//! - [`fleet`]: what boxes are and carry. [`boxes`], [`list_server`], [`viewers`]: their sockets.
-//! - [`publisher`]: the stand-in of a catalogue's publisher. [`standalone`]: the stand-ins one by one.
-//! - [`record`]: what was seen. [`audit`]: the rules and the service, judged from that alone.
+//! - [`script`]: the language of rehearsal scripts. [`runner`]: runs a script with real fronts.
+//! - [`deployment`]: settings and configuration documents of a rehearsal. [`catalogue`]: the catalogue of its titles, and
+//!   the comparison of its uses.
+//! - [`fleet`]: state of the simulated boxes. [`boxes`], [`list_server`], [`viewers`]: the sockets of boxes, server list
+//!   and viewers.
+//! - [`publisher`]: the stand-in of a catalogue publisher. [`standalone`]: runs the stand-ins one by one.
+//! - [`record`]: what the stand-ins observed. [`audit`]: the rules and the service figure, judged from the records alone.
+//! - [`net`]: coroutines, time-outs and HTTP reading.
 pub mod audit;
 pub mod boxes;
 pub mod catalogue;
