--- a/crates/rehearsal/src/deployment.rs
+++ b/crates/rehearsal/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that a rehearsal plays: the depot's terms, the fronts' documents, their folder.
+//! What a rehearsal deploys: the settings of boxes and audit, the fronts' configuration documents, and their folder.
 use crate::fleet::BoxSettings;
 use crate::record::{AuditSettings, GroupSettings};
 use crate::script::Script;
@@ -6,10 +6,10 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Length of a segment, in milliseconds.
+/// Nominal duration of a segment.
 pub const SEGMENT_MS: f64 = 500.0;
 
-/// The depot's terms: what the fronts' documents and the auditor say alike.
+/// Settings of the boxes; the fronts' documents state the same values.
 pub fn box_settings(script: &Script) -> BoxSettings {
     BoxSettings {
         max_streams: 40,
@@ -24,11 +24,12 @@
     }
 }
 
+/// Settings that the auditor judges by; the fronts' documents state the same values.
 pub fn audit_settings() -> AuditSettings {
-    let group = |name: &str, start_target, patience, utility| GroupSettings {
+    let group = |name: &str, start_target_ms, wait_limit_ms, utility| GroupSettings {
         name: name.into(),
-        start_target_ms: start_target,
-        wait_limit_ms: patience,
+        start_target_ms,
+        wait_limit_ms,
         utility,
         repeatable: true,
         lowest_rung: 0,
@@ -47,39 +48,43 @@
     }
 }
 
-/// The settings document of one front of a depot.
+/// The configuration document of one front.
 pub fn front_document(
     script: &Script,
-    kind: &BoxSettings,
-    terms: &AuditSettings,
-    list: SocketAddr,
+    box_settings: &BoxSettings,
+    audit_settings: &AuditSettings,
+    list_address: SocketAddr,
     front: u32,
 ) -> String {
-    let mut text = format!("listen \"127.0.0.1:0\"\nlist \"http://{list}/boxes/{front}\"\n");
+    let mut text = format!("listen \"127.0.0.1:0\"\nlist \"http://{list_address}/boxes/{front}\"\n");
     text +=
         &format!("fronts {}\nseed {}\nladder {{\n", script.fronts, script.seed * 1_000 + u64::from(front));
-    for (rung, kb) in kind.rung_kb_per_s.iter().enumerate() {
-        let utility = (rung + 1) as f64 / kind.rung_kb_per_s.len() as f64;
-        text += &format!("    rung kb={kb} utility={utility}\n");
+    for (rung, kb_per_s) in box_settings.rung_kb_per_s.iter().enumerate() {
+        let utility = (rung + 1) as f64 / box_settings.rung_kb_per_s.len() as f64;
+        text += &format!("    rung kb={kb_per_s} utility={utility}\n");
     }
     text += "}\n";
-    for g in &terms.groups {
+    for group in &audit_settings.groups {
         text += &format!(
             "service-group \"{}\" start-target={} setup-timeout={} utility={} repeat=\"safe\"\n",
-            g.name, g.start_target_ms, g.wait_limit_ms, g.utility
+            group.name, group.start_target_ms, group.wait_limit_ms, group.utility
         );
     }
-    text += &format!("kind \"box\" streams={}\n", kind.max_streams);
-    text += &format!("links link-kb={} uplink-kb={}\n", kind.link_kb_per_s, kind.uplink_kb_per_s);
+    text += &format!("kind \"box\" streams={}\n", box_settings.max_streams);
+    text +=
+        &format!("links link-kb={} uplink-kb={}\n", box_settings.link_kb_per_s, box_settings.uplink_kb_per_s);
     text += "reports via=\"probe\" delay=800 {\n    columns \"streams\" \"link\" \"uplink\"\n}\n";
-    let (free, share, span) = terms.retry_budget.unwrap_or((0.0, 0.0, 1_000.0));
+    let (free, share, window) = audit_settings.retry_budget.unwrap_or((0.0, 0.0, 1_000.0));
     text += &format!(
-        "setups most={} {{\n    budget free={free} share={share} span={span}\n}}\n",
-        terms.max_setups
+        "setups most={} {{\n    budget free={free} share={share} span={window}\n}}\n",
+        audit_settings.max_setups
     );
     text += &format!(
         "cold lasts={} from={} multiple={} span={}\n",
-        kind.warm_up_ms, kind.initial_share, kind.cold_rate_multiple, kind.cold_window_ms
+        box_settings.warm_up_ms,
+        box_settings.initial_share,
+        box_settings.cold_rate_multiple,
+        box_settings.cold_window_ms
     );
     text += "come-back most=800\nwaits connect=500 probe=300 silence=15000 way-back=60\n";
     text += "viewers connections=4000 header-bytes=8192 headers=64 header-time=5000 idle=60000 pipelined=4 ";
@@ -89,19 +94,21 @@
     text + &format!("manifest segment={SEGMENT_MS} update=2000 token-lasts=600000\n")
 }
 
-/// Files of one rehearsal, gone with it.
+/// A temporary folder, deleted with this value.
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
+    /// Creates a folder with a name of its own.
     pub fn new() -> Result<Self, String> {
-        let unique = Instant::now();
-        let name = format!("walnutline-rehearsal-{}-{unique:?}", std::process::id());
+        let now = Instant::now();
+        let name = format!("walnutline-rehearsal-{}-{now:?}", std::process::id());
         let name: String = name.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').collect();
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(TempFolder(path))
     }
 
+    /// Writes a file into the folder.
     pub fn write(&self, name: &str, text: &str) -> Result<PathBuf, String> {
         let path = self.0.join(name);
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
