--- a/crates/rehearsal/src/publisher.rs
+++ b/crates/rehearsal/src/publisher.rs
@@ -66,7 +66,7 @@
         Ok(state.version.number())
     }
 
-    /// The present catalogue.
+    /// The current catalogue.
     pub fn version(&self) -> Arc<Version> {
         self.lock().version.clone()
     }
--- a/crates/wheel/src/lib.rs
+++ b/crates/wheel/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! - Starting and cancelling a timer are O(1). Timers live in a slab whose entries are reused, so that no timer needs an
 //!   allocation of its own. An entry takes 32 bytes and the value.
-//! - Six levels of 64 slots. A timer stands on the level of the highest digit in which its due time differs from the
-//!   present tick, and moves down as that time approaches, at most five times. Due times beyond the last level stand in
-//!   its last slot and are placed anew when that slot is reached.
+//! - Six levels of 64 slots. A timer is placed on the level of the highest digit in which its due time differs from the
+//!   current tick, and moves down as that time approaches, at most five times. Timers beyond the last level are placed in
+//!   the slot of that level that is reached last, and placed anew then.
 //! - A timer is exact to one tick. With slack, its due time is rounded up to a multiple of the slack, so that many idle
 //!   time-outs come due together and cost one wake-up.
 //! - Due timers are returned by priority, then by due time, then in the order of starting: after a stall, set-up
