--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -1,52 +1,55 @@
-//! `walnutline front` and `walnutline check`.
+//! `walnutline front` runs a front from a settings document; `walnutline check` only checks the document.
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use walnutline_settings::Deployment;
 
+/// Arguments of `walnutline front`.
 #[derive(clap::Args)]
 pub struct Args {
     /// The settings document.
     file: PathBuf,
-    /// Threads that run coroutines.
+    /// Number of threads that run coroutines.
     #[arg(long, default_value_t = 2)]
     workers: usize,
-    /// Write the address that the front listens on to this file, once it does.
+    /// Write the listening address to this file once the front accepts connections.
     #[arg(long)]
     address_file: Option<PathBuf>,
 }
 
 fn load(file: &Path) -> Result<Deployment, String> {
-    walnutline_settings::load(file).map_err(|faults| {
-        let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        told.join("\n")
+    walnutline_settings::load(file).map_err(|errors| {
+        let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        messages.join("\n")
     })
 }
 
+/// Checks a settings document and prints a summary of it.
 pub fn check(file: &Path) -> Result<(), String> {
-    let d = load(file)?;
+    let deployment = load(file)?;
     println!(
         "{}: good; {} service groups, {} rungs",
         file.display(),
-        d.groups.len(),
-        d.terms.rung_kb_per_s.len()
+        deployment.groups.len(),
+        deployment.terms.rung_kb_per_s.len()
     );
     Ok(())
 }
 
+/// Runs a front until SIGTERM or SIGINT, and reloads its keys at each SIGHUP.
 pub fn run(args: Args) -> Result<(), String> {
-    let d = load(&args.file)?;
-    // Every request in hand is answered within the longest time that a viewer waits.
-    let longest = d.groups.iter().map(|(_, wait)| *wait).fold(0.0, f64::max);
+    let deployment = load(&args.file)?;
+    // Every open request is answered within the longest waiting time of any service group.
+    let max_wait_ms = deployment.groups.iter().map(|(_, wait_ms)| *wait_ms).fold(0.0, f64::max);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
-    let listen = d.listen;
-    let front = walnutline_front::start(d, args.workers).map_err(|e| format!("{listen}: {e}"))?;
+    let listen = deployment.listen;
+    let front = walnutline_front::start(deployment, args.workers).map_err(|e| format!("{listen}: {e}"))?;
     if let Some(file) = &args.address_file {
-        // Whole or not at all: it is waited for by its name.
-        let part = file.with_extension("part");
-        std::fs::write(&part, front.address.to_string())
-            .and_then(|()| std::fs::rename(&part, file))
+        // Renamed into place: whoever waits for the file must not read it half written.
+        let partial_file = file.with_extension("part");
+        std::fs::write(&partial_file, front.address.to_string())
+            .and_then(|()| std::fs::rename(&partial_file, file))
             .map_err(|e| format!("{}: {e}", file.display()))?;
     }
     for signal in signals.forever() {
@@ -54,16 +57,16 @@
             break;
         }
         match load(&args.file) {
-            Ok(d) => {
-                front.reload_keys(d);
+            Ok(deployment) => {
+                front.reload_keys(deployment);
                 tracing::info!(target: "walnutline::mode", "keys taken anew");
             }
-            Err(faults) => tracing::error!("keys stay as they were: {faults}"),
+            Err(errors) => tracing::error!("keys stay as they were: {errors}"),
         }
     }
     tracing::info!(target: "walnutline::mode", "stopping");
-    match front.stop(Duration::from_secs_f64(longest / 1_000.0 + 1.0)) {
+    match front.stop(Duration::from_secs_f64(max_wait_ms / 1_000.0 + 1.0)) {
         0 => Ok(()),
-        left => Err(format!("stopped with {left} requests unanswered")),
+        unanswered => Err(format!("stopped with {unanswered} requests unanswered")),
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `walnutline` command.
+//! The `walnutline` command: parses the command line, sets up logging and runs the chosen sub-command.
 mod bench;
 mod bench_catalogue;
 mod catalogue;
@@ -11,9 +11,13 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "walnutline", version, about = "A session front for media boxes, and its rehearsal kit")]
+#[command(
+    name = "walnutline",
+    version,
+    about = "A session front for media boxes, with rehearsal and measuring tools"
+)]
 struct Cli {
-    /// Log lines as JSON instead of text.
+    /// Write log lines as JSON instead of text.
     #[arg(long, global = true)]
     json_log: bool,
     #[command(subcommand)]
@@ -22,37 +26,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a front until SIGTERM; SIGHUP takes its keys anew from the document.
+    /// Run a front until SIGTERM; SIGHUP reloads its keys from the settings document.
     Front(front::Args),
-    /// Run a front node on the operators' platform until SIGTERM; NODE_NAME, NODE_LISTEN and NODE_CONFIG tell it all.
+    /// Run a front node on the operators' platform until SIGTERM, configured by NODE_NAME, NODE_LISTEN and NODE_CONFIG.
     Node,
-    /// Check a settings document and tell every fault with its place.
+    /// Check a settings document and list every error with its position.
     Check { file: PathBuf },
-    /// Load, look at and check a stored catalogue.
+    /// Load, show, change and verify a stored catalogue.
     #[command(subcommand)]
     Catalogue(catalogue::Command),
-    /// Make keys and tokens.
+    /// Create keys, tokens and proofs.
     #[command(subcommand)]
     Token(token::Command),
-    /// Play a script of trouble on a depot of stand-ins and judge it from the sockets.
+    /// Run a fault script against simulated boxes and viewers, and check the traffic that their sockets see.
     Rehearse(walnutline_rehearsal::play::Args),
-    /// Run one stand-in box; prints its line for a list.
+    /// Run one simulated box; prints its entry for a box list.
     Box(walnutline_rehearsal::alone::BoxArgs),
-    /// Serve a list of boxes from a file; prints its address.
+    /// Serve a box list from a file; prints the address it is served at.
     List(walnutline_rehearsal::alone::ListArgs),
-    /// Let stand-in viewers come to fronts.
+    /// Run simulated viewers against fronts.
     Viewers(walnutline_rehearsal::alone::ViewersArgs),
-    /// Measure; long, and no part of CI.
+    /// Run benchmarks; they take long and are not part of CI.
     #[command(subcommand)]
     Bench(bench::Command),
-    /// Judge the records of a rehearsal again.
+    /// Check the records of an earlier rehearsal again.
     Audit { records: PathBuf },
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    log(cli.json_log);
-    let done = match cli.command {
+    init_logging(cli.json_log);
+    let result = match cli.command {
         Command::Front(args) => front::run(args),
         Command::Node => node::run(),
         Command::Check { file } => front::check(&file),
@@ -65,7 +69,7 @@
         Command::Bench(command) => bench::run(command),
         Command::Audit { records } => walnutline_rehearsal::audit::run(&records),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("walnutline: {e}");
@@ -74,16 +78,16 @@
     }
 }
 
-/// Logs go to standard error; `RUST_LOG` narrows or widens them.
-fn log(json: bool) {
-    // The coroutine library reports each signal that interrupts its poll as an error: a machine that is often stopped
-    // and continued would write of nothing else.
+/// Sends logs to standard error, filtered by `RUST_LOG`.
+fn init_logging(json: bool) {
+    // `may` logs an error for each signal that interrupts its poll, which floods the log of a process that is often
+    // stopped and continued.
     let filter = tracing_subscriber::EnvFilter::try_from_default_env();
     let filter = filter.unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info,may=off"));
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     if json {
-        log.json().init();
+        subscriber.json().init();
     } else {
-        log.init();
+        subscriber.init();
     }
 }
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,16 +1,16 @@
-//! `walnutline node`: the front node on the operators' platform.
+//! `walnutline node`: runs the front node on the operators' platform.
 use std::path::PathBuf;
 use walnutline_node::edge::{self, Start};
 
-/// Runs until SIGTERM; what it is told comes by the environment, as the platform prescribes.
+/// Runs the front node until SIGTERM. Its start options come from environment variables, as the platform requires.
 pub fn run() -> Result<(), String> {
-    let told = |name: &str| match std::env::var(name) {
+    let variable = |name: &str| match std::env::var(name) {
         Ok(value) if !value.is_empty() => Ok(value),
         _ => Err(format!("{name}: not set")),
     };
-    let listen = told("NODE_LISTEN")?;
-    let listen = listen.parse().map_err(|e| format!("NODE_LISTEN: {listen}: {e}"))?;
-    let name = told("NODE_NAME")?;
+    let listen_address = variable("NODE_LISTEN")?;
+    let listen_address = listen_address.parse().map_err(|e| format!("NODE_LISTEN: {listen_address}: {e}"))?;
+    let name = variable("NODE_NAME")?;
     tracing::info!(target: "walnutline::mode", name, "node starts");
-    edge::run(Start { listen, file: PathBuf::from(told("NODE_CONFIG")?) })
+    edge::run(Start { listen: listen_address, file: PathBuf::from(variable("NODE_CONFIG")?) })
 }
