--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -1,6 +1,5 @@
-//! Events that cross, with real connections: each test makes the bad order happen every time, by what it
-//! holds back, by a process that stands still, or by bytes that fill the way. docs/design/crossings.md lists
-//! them.
+//! Race conditions between events, with real connections. Each test forces the critical order: it delays an answer,
+//! stops the process with SIGSTOP, or fills a buffer. docs/design/crossings.md lists the races.
 #[path = "../../platform/tests/support/dns.rs"]
 mod dns;
 #[path = "support/node.rs"]
@@ -13,540 +12,559 @@
 use test_case::test_case;
 use walnutline_node::limits;
 
-/// Long enough for a SETUP that must not come: whatever would lead to it happens within milliseconds.
-const NOTHING: Duration = Duration::from_millis(700);
+/// How long to wait for a SETUP that must not be sent; a faulty node would send it within milliseconds.
+const ABSENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
-fn ping(body: usize) -> String {
-    let body = "x".repeat(body);
+/// An OPTIONS request with a body of that many bytes.
+fn ping(body_length: usize) -> String {
+    let body = "x".repeat(body_length);
     format!("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A SETUP of a viewer that is out at the server; what else the viewer sent was heard.
-fn setup_out(b: &Bench, server: &mut Server, id: u64) -> (Peer, Peer) {
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&wanted(id));
-    let (at, setup) = server.hears();
+/// Sends a SETUP on a new viewer connection and waits until the server has received it. Returns the viewer's connection
+/// and the server's.
+fn start_setup(node: &TestNode, server: &mut ScriptedServer, id: u64) -> (Connection, Connection) {
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&setup_request(id));
+    let (server_connection, setup) = server.receive_request();
     assert!(setup.starts_with("SETUP") && setup.contains(&format!("{id:016x}")), "{setup}");
-    (viewer, at)
+    (viewer, server_connection)
 }
 
-/// How a viewer goes.
+/// How a viewer ends its request.
 #[derive(Clone, Copy, Debug)]
-enum Goes {
-    Cancels,
-    Closes,
-    HalfCloses,
-    Resets,
+enum ViewerExit {
+    Cancel,
+    Close,
+    HalfClose,
+    Reset,
 }
 
-fn go(mut viewer: Peer, id: u64, how: Goes) -> Option<Peer> {
-    match how {
-        Goes::Cancels => viewer.says(&teardown(id, None)),
-        Goes::Closes => drop(viewer.stream.shutdown(Shutdown::Both)),
-        Goes::HalfCloses => drop(viewer.stream.shutdown(Shutdown::Write)),
-        Goes::Resets => {
-            viewer.resets();
+/// Ends the request, and returns the connection unless it was reset.
+fn end_request(mut viewer: Connection, id: u64, exit: ViewerExit) -> Option<Connection> {
+    match exit {
+        ViewerExit::Cancel => viewer.send(&teardown_request(id, None)),
+        ViewerExit::Close => drop(viewer.stream.shutdown(Shutdown::Both)),
+        ViewerExit::HalfClose => drop(viewer.stream.shutdown(Shutdown::Write)),
+        ViewerExit::Reset => {
+            viewer.reset();
             return None;
         }
     }
     Some(viewer)
 }
 
-/// The viewer goes in the same bytes in which it asks. The node stands still until all of it is there.
-#[test_case(Goes::Cancels; "cancels")]
-#[test_case(Goes::Closes; "closes")]
-#[test_case(Goes::HalfCloses; "half closes")]
-fn who_goes_in_the_same_bytes_gets_no_setup(how: Goes) {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    // A connection to the server and fresh news of it: nothing but the viewer's own words could hold the
-    // SETUP back.
-    let (mut first, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    first.hears();
-    server.keeps(at);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&ping(0));
-    viewer.hears();
-    b.signal("-STOP");
-    viewer.says(&wanted(2));
-    let kept = go(viewer, 2, how);
-    b.signal("-CONT");
-    let heard = server.hears_within(NOTHING);
-    assert!(heard.is_none(), "{:?}", heard.map(|h| h.1));
-    first.says(&ping(0));
-    first.hears();
-    drop(kept);
+/// The viewer sends a SETUP and ends it at once. The node is stopped until both have arrived.
+#[test_case(ViewerExit::Cancel; "cancels")]
+#[test_case(ViewerExit::Close; "closes")]
+#[test_case(ViewerExit::HalfClose; "half closes")]
+fn request_ended_with_its_arrival_sends_no_setup(exit: ViewerExit) {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    // With a connection to the server and a recent load report of it, the SETUP would be sent at once.
+    let (mut first, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    first.receive();
+    server.add_connection(server_connection);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&ping(0));
+    viewer.receive();
+    node.signal("-STOP");
+    viewer.send(&setup_request(2));
+    let viewer = end_request(viewer, 2, exit);
+    node.signal("-CONT");
+    let request = server.receive_request_within(ABSENCE_TIMEOUT);
+    assert!(request.is_none(), "{:?}", request.map(|(_, message)| message));
+    first.send(&ping(0));
+    first.receive();
+    drop(viewer);
 }
 
-/// The viewer goes while its request waits for a probe's answer, which comes then.
-#[test_case(Goes::Cancels; "cancels")]
-#[test_case(Goes::Closes; "closes")]
-#[test_case(Goes::HalfCloses; "half closes")]
-#[test_case(Goes::Resets; "resets")]
-fn who_goes_while_a_probe_is_out_gets_no_setup(how: Goes) {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&wanted(1));
-    let mut at = Peer::new(server.listener.accept().unwrap().0);
-    let probe = at.hears();
+/// The viewer ends its request while the node waits for the answer to a probe, which then arrives.
+#[test_case(ViewerExit::Cancel; "cancels")]
+#[test_case(ViewerExit::Close; "closes")]
+#[test_case(ViewerExit::HalfClose; "half closes")]
+#[test_case(ViewerExit::Reset; "resets")]
+fn request_ended_during_a_probe_sends_no_setup(exit: ViewerExit) {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&setup_request(1));
+    let mut server_connection = Connection::new(server.listener.accept().unwrap().0);
+    let probe = server_connection.receive();
     assert!(probe.starts_with("OPTIONS"), "{probe}");
-    let kept = go(viewer, 1, how);
+    let viewer = end_request(viewer, 1, exit);
     std::thread::sleep(Duration::from_millis(100));
     let report = "X-Circuits: inflight:1;x0:0.2\r\nContent-Length: 0\r\n\r\n";
-    at.says(&format!("RTSP/1.0 200 OK\r\nCSeq: 3\r\n{}\r\n{report}", session_of(&probe)));
-    server.keeps(at);
-    let heard = server.hears_within(NOTHING);
-    assert!(heard.is_none(), "{:?}", heard.map(|h| h.1));
-    drop(kept);
+    server_connection.send(&format!("RTSP/1.0 200 OK\r\nCSeq: 3\r\n{}\r\n{report}", session_header(&probe)));
+    server.add_connection(server_connection);
+    let request = server.receive_request_within(ABSENCE_TIMEOUT);
+    assert!(request.is_none(), "{:?}", request.map(|(_, message)| message));
+    drop(viewer);
 }
 
-/// The viewer goes while its SETUP waits for a connection, which comes up late: all places of those that wait
-/// to be taken in are filled meanwhile.
-#[test_case(Goes::Cancels; "cancels")]
-#[test_case(Goes::Closes; "closes")]
-#[test_case(Goes::HalfCloses; "half closes")]
-fn who_goes_while_a_connection_comes_up_gets_no_setup(how: Goes) {
-    let (b, mut server) =
-        Bench::by_hand(128, |t| t.replace("\"connect_timeout\":250.0", "\"connect_timeout\":9000.0"));
-    let filled = fill(b.server);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&wanted(1));
-    // Past the time for which a probe's answer is waited for: the SETUP itself waits now.
+/// The viewer ends its request while its SETUP waits for a connection to the server, which is established late because
+/// the server's accept queue is full.
+#[test_case(ViewerExit::Cancel; "cancels")]
+#[test_case(ViewerExit::Close; "closes")]
+#[test_case(ViewerExit::HalfClose; "half closes")]
+fn request_ended_while_connecting_sends_no_setup(exit: ViewerExit) {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| {
+        text.replace("\"connect_timeout\":250.0", "\"connect_timeout\":9000.0")
+    });
+    let queued = fill_accept_queue(node.server_address);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&setup_request(1));
+    // After the probe time-out it is the SETUP itself that waits for the connection.
     std::thread::sleep(Duration::from_millis(500));
-    let kept = go(viewer, 1, how);
-    drop(filled);
-    // The connection comes up with the next try of the kernel, after a second or three.
-    let heard = server.hears_within(Duration::from_millis(3_500));
-    assert!(heard.is_none(), "{:?}", heard.map(|h| h.1));
-    assert!(server.met_a_probe(), "no connection came up");
-    drop(kept);
+    let viewer = end_request(viewer, 1, exit);
+    drop(queued);
+    // The connection is established when the kernel retransmits its SYN, after one or three seconds.
+    let request = server.receive_request_within(Duration::from_millis(3_500));
+    assert!(request.is_none(), "{:?}", request.map(|(_, message)| message));
+    assert!(server.has_answered_probe(), "no connection was established");
+    drop(viewer);
 }
 
-/// The first SETUP failed, and the viewer goes behind so many unheard bytes that the failure is heard first.
-/// The node stands still until both are there.
-#[test_case(Goes::Cancels; "cancels")]
-#[test_case(Goes::Closes; "closes")]
-#[test_case(Goes::HalfCloses; "half closes")]
-fn who_goes_behind_unheard_bytes_gets_no_further_setup(how: Goes) {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    b.signal("-STOP");
-    at.says(&reply(500, 1, 1, ""));
-    // More than is read of one connection before any of it is heard.
-    (0..8).for_each(|_| viewer.says(&ping(3_900)));
-    let kept = go(viewer, 1, how);
-    b.signal("-CONT");
-    server.keeps(at);
-    let heard = server.hears_within(NOTHING);
-    assert!(heard.is_none(), "{:?}", heard.map(|h| h.1));
-    drop(kept);
+/// The first SETUP fails, and the viewer ends its request behind so many unread bytes that the node reads the failure
+/// first. The node is stopped until both have arrived.
+#[test_case(ViewerExit::Cancel; "cancels")]
+#[test_case(ViewerExit::Close; "closes")]
+#[test_case(ViewerExit::HalfClose; "half closes")]
+fn request_ended_behind_unread_bytes_sends_no_further_setup(exit: ViewerExit) {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    node.signal("-STOP");
+    server_connection.send(&response(500, 1, 1, ""));
+    // More than the node reads of one connection before it processes what it read.
+    (0..8).for_each(|_| viewer.send(&ping(3_900)));
+    let viewer = end_request(viewer, 1, exit);
+    node.signal("-CONT");
+    server.add_connection(server_connection);
+    let request = server.receive_request_within(ABSENCE_TIMEOUT);
+    assert!(request.is_none(), "{:?}", request.map(|(_, message)| message));
+    drop(viewer);
 }
 
-/// Guards against the check above keeping those from their further SETUP who are still there.
+/// Guards against unread bytes blocking the further SETUP of a viewer that is still connected.
 #[test]
-fn who_stays_behind_unheard_bytes_gets_its_further_setup() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    b.signal("-STOP");
-    at.says(&reply(500, 1, 1, ""));
-    (0..8).for_each(|_| viewer.says(&ping(3_900)));
-    b.signal("-CONT");
-    server.keeps(at);
-    let (mut at, setup) = server.hears();
+fn request_continued_behind_unread_bytes_sends_a_further_setup() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    node.signal("-STOP");
+    server_connection.send(&response(500, 1, 1, ""));
+    (0..8).for_each(|_| viewer.send(&ping(3_900)));
+    node.signal("-CONT");
+    server.add_connection(server_connection);
+    let (mut server_connection, setup) = server.receive_request();
     assert!(setup.starts_with("SETUP"), "{setup}");
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    let answer = std::iter::repeat_with(|| viewer.hears()).find(|m| m.contains("b=2")).unwrap();
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    let answer = std::iter::repeat_with(|| viewer.receive()).find(|message| message.contains("b=2")).unwrap();
     assert!(answer.starts_with("RTSP/1.0 200"), "{answer}");
 }
 
-/// All places are taken by idle connections, and a new one comes. Each of the idle ones has brought a set-up
-/// that is not heard yet when room is made.
+/// Idle connections take all descriptors when a new one arrives, and each of them holds a SETUP that the node has not
+/// read yet. None may be closed to make room.
 #[test]
-fn a_connection_with_an_unheard_set_up_does_not_give_way() {
-    const ALL: usize = 42;
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let mut idle: Vec<Peer> = (0..ALL).map(|_| Peer::new(b.viewer())).collect();
-    for v in &mut idle {
-        v.says(&ping(0));
-        v.hears();
+fn connection_with_an_unread_setup_is_not_closed_for_a_new_one() {
+    const IDLE_VIEWERS: usize = 42;
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let mut idle: Vec<Connection> =
+        (0..IDLE_VIEWERS).map(|_| Connection::new(node.connect_viewer())).collect();
+    for viewer in &mut idle {
+        viewer.send(&ping(0));
+        viewer.receive();
     }
-    b.signal("-STOP");
-    let new = b.viewer();
-    for (n, v) in idle.iter_mut().enumerate() {
-        v.says(&wanted(n as u64 + 1));
+    node.signal("-STOP");
+    let new = node.connect_viewer();
+    for (index, viewer) in idle.iter_mut().enumerate() {
+        viewer.send(&setup_request(index as u64 + 1));
     }
-    b.signal("-CONT");
+    node.signal("-CONT");
     let answers = std::thread::spawn(move || {
-        idle.iter_mut().map(|v| read_message(&mut v.stream, &mut String::new())).collect::<Vec<_>>()
+        idle.iter_mut().map(|viewer| read_message(&mut viewer.stream, &mut String::new())).collect::<Vec<_>>()
     });
-    let until = Instant::now() + WAIT;
-    while !answers.is_finished() && Instant::now() < until {
-        if let Some((mut at, message)) = server.hears_within(Duration::from_millis(50)) {
+    let deadline = Instant::now() + RECEIVE_TIMEOUT;
+    while !answers.is_finished() && Instant::now() < deadline {
+        if let Some((mut server_connection, message)) =
+            server.receive_request_within(Duration::from_millis(50))
+        {
             if message.starts_with("SETUP") {
-                let id = u64::from_str_radix(session_of(&message).split(' ').nth(1).unwrap(), 16).unwrap();
-                at.says(&reply(200, 1, id, "b=2\r\n"));
+                let id =
+                    u64::from_str_radix(session_header(&message).split(' ').nth(1).unwrap(), 16).unwrap();
+                server_connection.send(&response(200, 1, id, "b=2\r\n"));
             }
-            server.keeps(at);
+            server.add_connection(server_connection);
         }
     }
-    let unanswered = answers.join().unwrap().iter().filter(|a| a.is_none()).count();
-    assert_eq!(unanswered, 0, "of {ALL}");
+    let unanswered = answers.join().unwrap().iter().filter(|answer| answer.is_none()).count();
+    assert_eq!(unanswered, 0, "of {IDLE_VIEWERS}");
     drop(new);
 }
 
-/// Told to stop with nothing open any more, while answers still wait for a viewer that reads slowly: they
-/// come whole.
+/// SIGTERM arrives when no request is open but answers are still buffered for a viewer that reads slowly: the viewer must
+/// receive all of them whole.
 #[test]
-fn answers_that_have_not_gone_out_outlive_the_stop() {
-    const BODY: usize = 15_000;
-    let (mut b, mut server) = Bench::by_hand(128, |t| t);
-    let body = "d".repeat(BODY);
-    let deaf = |b: &Bench| {
+fn buffered_answers_are_sent_before_exit() {
+    const BODY_BYTES: usize = 15_000;
+    let (mut node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let body = "d".repeat(BODY_BYTES);
+    let connect_slow_viewer = |node: &TestNode| {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4_096).unwrap();
-        socket.connect(&b.address.into()).unwrap();
-        Peer::new(socket.into())
+        socket.connect(&node.address.into()).unwrap();
+        Connection::new(socket.into())
     };
-    let mut next = 0;
-    // A session that stands and is over, with an answer that its viewer does not read; or its viewer is
-    // closed.
-    let mut fill = |viewer: &mut Peer| -> bool {
-        next += 1;
-        if viewer.stream.write_all(wanted(next).as_bytes()).is_err() {
+    let mut next_id = 0;
+    // Sets up and ends a session, whose answer the viewer does not read. False once the node has closed the viewer's
+    // connection.
+    let mut add_unread_answer = |viewer: &mut Connection| -> bool {
+        next_id += 1;
+        if viewer.stream.write_all(setup_request(next_id).as_bytes()).is_err() {
             return false;
         }
-        let Some((mut at, _)) = server.hears_within(Duration::from_millis(400)) else { return false };
-        at.says(&(reply(200, 1, next, &body) + &teardown(next, Some(31))));
-        while !at.hears().starts_with("RTSP/1.0 200") {}
-        server.keeps(at);
+        let Some((mut server_connection, _)) = server.receive_request_within(Duration::from_millis(400))
+        else {
+            return false;
+        };
+        server_connection.send(&(response(200, 1, next_id, &body) + &teardown_request(next_id, Some(31))));
+        while !server_connection.receive().starts_with("RTSP/1.0 200") {}
+        server.add_connection(server_connection);
         true
     };
-    // The first shows how much there is room for, in the sockets and in the node; the second leaves some of
-    // it.
-    let mut first = deaf(&b);
-    let room = (0..2_000).take_while(|_| fill(&mut first)).count();
-    let mut slow = deaf(&b);
-    let sent = room - limits::MAX_BACKLOG_BYTES / BODY / 2;
-    assert!((0..sent).all(|_| fill(&mut slow)));
-    b.signal("-TERM");
-    let told = Instant::now();
+    // The first viewer measures how many answers fit into the sockets and the node's buffer; the second gets fewer.
+    let mut first = connect_slow_viewer(&node);
+    let capacity = (0..2_000).take_while(|_| add_unread_answer(&mut first)).count();
+    let mut slow = connect_slow_viewer(&node);
+    let sent = capacity - limits::MAX_BACKLOG_BYTES / BODY_BYTES / 2;
+    assert!((0..sent).all(|_| add_unread_answer(&mut slow)));
+    node.signal("-TERM");
+    let signalled_at = Instant::now();
     std::thread::sleep(Duration::from_millis(1_500));
-    let mut whole = 0;
-    while let Some(message) = read_message(&mut slow.stream, &mut slow.rest) {
-        whole += usize::from(message.starts_with("RTSP/1.0 200") && message.ends_with(&body));
+    let mut received = 0;
+    while let Some(message) = read_message(&mut slow.stream, &mut slow.unparsed) {
+        received += usize::from(message.starts_with("RTSP/1.0 200") && message.ends_with(&body));
     }
-    assert_eq!(whole, sent, "of {room}");
-    assert!(b.child.wait().unwrap().success());
-    assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
+    assert_eq!(received, sent, "of {capacity}");
+    assert!(node.process.wait().unwrap().success());
+    assert!(signalled_at.elapsed() < Duration::from_millis(3_700), "{:?}", signalled_at.elapsed());
     drop(first);
 }
 
-/// No descriptor is left, so that none comes in any more: those that are there are heard as before.
+/// No descriptor is left, so that every accept fails: open connections must be served without delay.
 #[test]
-fn without_descriptors_those_inside_are_not_held_up() {
-    let (b, _server) = Bench::by_hand(48, |t| t);
-    let mut inside = Peer::new(b.viewer());
-    inside.says(&ping(0));
-    inside.hears();
-    let outside: Vec<_> = (0..60).map(|_| std::net::TcpStream::connect(b.address).unwrap()).collect();
-    let told = b.said.recv_timeout(WAIT).unwrap();
-    assert!(told.contains("accept"), "{told}");
-    let began = Instant::now();
+fn failing_accepts_do_not_delay_open_connections() {
+    let (node, _server) = TestNode::with_scripted_server(48, |text| text);
+    let mut accepted = Connection::new(node.connect_viewer());
+    accepted.send(&ping(0));
+    accepted.receive();
+    let queued: Vec<_> = (0..60).map(|_| std::net::TcpStream::connect(node.address).unwrap()).collect();
+    let line = node.log_lines.recv_timeout(RECEIVE_TIMEOUT).unwrap();
+    assert!(line.contains("accept"), "{line}");
+    let started = Instant::now();
     for _ in 0..60 {
-        inside.says(&ping(0));
-        inside.hears();
+        accepted.send(&ping(0));
+        accepted.receive();
     }
-    // A thread that slept 20 ms after each failure took 1.2 s for it.
-    assert!(began.elapsed() < Duration::from_millis(600), "{:?}", began.elapsed());
-    drop(outside);
+    // A node that sleeps 20 ms after each failed accept takes 1.2 s.
+    assert!(started.elapsed() < Duration::from_millis(600), "{:?}", started.elapsed());
+    drop(queued);
 }
 
-/// A session ends by its viewer, and the connection on which its server is told so breaks before the server
-/// reads it.
+/// A viewer ends its session, and the connection that carries the release to the server breaks before the server reads
+/// it.
 #[test]
-fn a_release_lost_with_a_servers_connection_is_sent_again() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    viewer.hears();
-    viewer.says(&teardown(1, Some(31)));
-    // The node has written the release, as it answers after it.
-    assert!(viewer.hears().contains("CSeq: 2"));
-    at.resets();
-    let (_, again) = server.hears();
-    assert!(again.starts_with("TEARDOWN") && again.contains("0000000000000001"), "{again}");
+fn release_lost_with_a_server_connection_is_sent_again() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    viewer.receive();
+    viewer.send(&teardown_request(1, Some(31)));
+    // The node answers after it has written the release.
+    assert!(viewer.receive().contains("CSeq: 2"));
+    server_connection.reset();
+    let (_, release) = server.receive_request();
+    assert!(release.starts_with("TEARDOWN") && release.contains("0000000000000001"), "{release}");
 }
 
-/// A good answer comes after a refusal to the same SETUP: nobody has that session, and its server is told so.
+/// A server first refuses a SETUP and then accepts it. No viewer has that session, so the node must release it.
 #[test]
-fn a_good_answer_after_a_refusal_is_released() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(453, 1, 1, ""));
-    let refused = viewer.hears();
+fn session_accepted_after_a_refusal_is_released() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(453, 1, 1, ""));
+    let refused = viewer.receive();
     assert!(refused.starts_with("RTSP/1.0 503"), "{refused}");
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    let released = at.hears();
-    assert!(released.starts_with("TEARDOWN") && released.contains("0000000000000001"), "{released}");
-    assert_eq!(viewer.hears_within(Duration::from_millis(200)), None, "a second answer");
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    let release = server_connection.receive();
+    assert!(release.starts_with("TEARDOWN") && release.contains("0000000000000001"), "{release}");
+    assert_eq!(viewer.receive_within(Duration::from_millis(200)), None, "a second answer");
 }
 
-/// The same answer twice: the session stands, and is neither answered nor released a second time.
+/// The server sends its positive answer twice: the session must be neither answered nor released a second time.
 #[test]
-fn a_second_copy_of_a_good_answer_changes_nothing() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(200, 1, 1, "b=2\r\n").repeat(2));
-    assert!(viewer.hears().starts_with("RTSP/1.0 200"));
-    assert_eq!(viewer.hears_within(Duration::from_millis(200)), None, "a second answer");
-    assert_eq!(at.hears_within(Duration::from_millis(50)), None, "a release");
-    at.says(&teardown(1, Some(16)));
-    assert!(viewer.hears().contains("cause=16"));
+fn duplicate_of_a_positive_answer_is_ignored() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(200, 1, 1, "b=2\r\n").repeat(2));
+    assert!(viewer.receive().starts_with("RTSP/1.0 200"));
+    assert_eq!(viewer.receive_within(Duration::from_millis(200)), None, "a second answer");
+    assert_eq!(server_connection.receive_within(Duration::from_millis(50)), None, "a release");
+    server_connection.send(&teardown_request(1, Some(16)));
+    assert!(viewer.receive().contains("cause=16"));
 }
 
-/// A server tells a session's end before the session is handed over to the node, and does not tell it again.
+/// A server reports the end of a session, once, before a viewer asks the node to take that session over.
 #[test]
-fn an_end_told_before_the_hand_over_is_passed_on_with_it() {
-    let (b, server) = Bench::by_hand(128, |t| t);
-    let mut viewer = Peer::new(b.viewer());
-    let handed_over = |id| wanted(id).replace("top:4;", "top:4;at:s-00000001;");
-    viewer.says(&handed_over(1));
-    let mut at = Peer::new(server.listener.accept().unwrap().0);
-    at.says(&teardown(2, Some(16)));
-    // The node has read it, as it says.
-    while !at.hears().contains("CSeq: 2") {}
-    viewer.says(&handed_over(2));
-    let told = viewer.hears();
+fn session_end_received_before_takeover_is_forwarded() {
+    let (node, server) = TestNode::with_scripted_server(128, |text| text);
+    let mut viewer = Connection::new(node.connect_viewer());
+    let existing_session = |id| setup_request(id).replace("top:4;", "top:4;at:s-00000001;");
+    viewer.send(&existing_session(1));
+    let mut server_connection = Connection::new(server.listener.accept().unwrap().0);
+    server_connection.send(&teardown_request(2, Some(16)));
+    // The node has read it once it answers.
+    while !server_connection.receive().contains("CSeq: 2") {}
+    viewer.send(&existing_session(2));
+    let release = viewer.receive();
     assert!(
-        told.starts_with("TEARDOWN") && told.contains("0000000000000002") && told.contains("cause=16"),
-        "{told}"
+        release.starts_with("TEARDOWN")
+            && release.contains("0000000000000002")
+            && release.contains("cause=16"),
+        "{release}"
     );
 }
 
-/// A viewer's connection ends while its end is still unheard, and the viewer asks for the same on another
-/// one: it is answered there, once.
+/// A viewer's connection has closed, but the node has not read that far, when the viewer repeats its request on another
+/// connection. It must be answered there, once.
 #[test]
-fn who_asks_again_on_another_connection_is_answered_there() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut first, mut at) = setup_out(&b, &mut server, 1);
-    b.signal("-STOP");
-    // So much that the other connection is heard long before the end of this one.
-    (0..64).for_each(|_| first.says(&ping(15_000)));
+fn request_repeated_on_another_connection_is_answered_there() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut first, mut server_connection) = start_setup(&node, &mut server, 1);
+    node.signal("-STOP");
+    // So much that the node reads the other connection long before the end of this one.
+    (0..64).for_each(|_| first.send(&ping(15_000)));
     drop(first.stream.shutdown(Shutdown::Both));
-    let mut second = Peer::new(b.viewer());
-    second.says(&wanted(1));
-    b.signal("-CONT");
-    // The second one has been heard.
-    second.says(&ping(0));
-    let pong = second.hears();
+    let mut second = Connection::new(node.connect_viewer());
+    second.send(&setup_request(1));
+    node.signal("-CONT");
+    // The answer shows that the node has read the second connection.
+    second.send(&ping(0));
+    let pong = second.receive();
     assert!(pong.contains("CSeq: 3"), "{pong}");
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    let answer = second.hears();
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    let answer = second.receive();
     assert!(answer.starts_with("RTSP/1.0 200") && answer.contains("b=2"), "{answer}");
-    let again = at.hears_within(Duration::from_millis(300));
-    assert!(again.is_none(), "{again:?}");
+    let further_request = server_connection.receive_within(Duration::from_millis(300));
+    assert!(further_request.is_none(), "{further_request:?}");
 }
 
-/// The same before its SETUP has gone out: it is held back for the unheard bytes of the first connection, and
-/// goes out for the second.
+/// As above, but before the SETUP has been sent to the server: it is delayed by the unread bytes of the first connection
+/// and must be sent for the second.
 #[test]
-fn who_asks_again_before_the_setup_is_sent_gets_it() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut other, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    other.hears();
-    server.keeps(at);
-    let mut first = Peer::new(b.viewer());
-    first.says(&ping(0));
-    first.hears();
-    b.signal("-STOP");
-    first.says(&wanted(2));
-    (0..24).for_each(|_| first.says(&ping(15_000)));
+fn request_repeated_before_its_setup_is_sent_is_answered() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut other, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    other.receive();
+    server.add_connection(server_connection);
+    let mut first = Connection::new(node.connect_viewer());
+    first.send(&ping(0));
+    first.receive();
+    node.signal("-STOP");
+    first.send(&setup_request(2));
+    (0..24).for_each(|_| first.send(&ping(15_000)));
     drop(first.stream.shutdown(Shutdown::Both));
-    other.says(&wanted(2));
-    b.signal("-CONT");
-    let (mut at, setup) = server.hears_within(Duration::from_secs(1)).expect("a SETUP");
+    other.send(&setup_request(2));
+    node.signal("-CONT");
+    let (mut server_connection, setup) =
+        server.receive_request_within(Duration::from_secs(1)).expect("a SETUP");
     assert!(setup.starts_with("SETUP") && setup.contains("0000000000000002"), "{setup}");
-    at.says(&reply(200, 1, 2, "b=2\r\n"));
-    let answer = other.hears();
+    server_connection.send(&response(200, 1, 2, "b=2\r\n"));
+    let answer = other.receive();
     assert!(answer.starts_with("RTSP/1.0 200") && answer.contains("b=2"), "{answer}");
 }
 
-/// A session is over while its viewer's connection has ended behind unheard bytes: the release that was
-/// written there is told on the next connection.
+/// A session ends after its viewer's connection was reset behind unread bytes: the release that was written to that
+/// connection must be sent again on the next one.
 #[test]
-fn a_release_lost_with_a_viewers_connection_is_told_again() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    viewer.hears();
-    b.signal("-STOP");
-    at.says(&teardown(1, Some(16)));
-    (0..8).for_each(|_| viewer.says(&ping(3_900)));
-    viewer.resets();
-    b.signal("-CONT");
-    while !at.hears().contains("CSeq: 2") {}
-    server.keeps(at);
-    let mut next = Peer::new(b.viewer());
-    next.says(&wanted(2));
-    let told = next.hears();
+fn release_lost_with_a_viewer_connection_is_sent_again() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    viewer.receive();
+    node.signal("-STOP");
+    server_connection.send(&teardown_request(1, Some(16)));
+    (0..8).for_each(|_| viewer.send(&ping(3_900)));
+    viewer.reset();
+    node.signal("-CONT");
+    while !server_connection.receive().contains("CSeq: 2") {}
+    server.add_connection(server_connection);
+    let mut next = Connection::new(node.connect_viewer());
+    next.send(&setup_request(2));
+    let release = next.receive();
     assert!(
-        told.starts_with("TEARDOWN") && told.contains("0000000000000001") && told.contains("cause=16"),
-        "{told}"
+        release.starts_with("TEARDOWN")
+            && release.contains("0000000000000001")
+            && release.contains("cause=16"),
+        "{release}"
     );
 }
 
-/// Answers the node's questions by hand, those that have come by now.
-fn questions(names: &UdpSocket) -> Vec<(Vec<u8>, SocketAddr)> {
-    names.set_nonblocking(true).unwrap();
+/// The queries of the node that have arrived so far, with their senders.
+fn pending_queries(name_service: &UdpSocket) -> Vec<(Vec<u8>, SocketAddr)> {
+    name_service.set_nonblocking(true).unwrap();
     let mut buffer = [0; 512];
-    let all = std::iter::from_fn(|| {
-        names.recv_from(&mut buffer).ok().map(|(n, from)| (buffer[..n].to_vec(), from))
+    let queries = std::iter::from_fn(|| {
+        name_service.recv_from(&mut buffer).ok().map(|(length, sender)| (buffer[..length].to_vec(), sender))
     });
-    all.collect()
+    queries.collect()
 }
 
-/// The answer to the next question: the server of the test, under that name.
-fn told(names: &UdpSocket, serial: u32, name: &str, server: SocketAddr) {
-    let until = Instant::now() + WAIT;
-    let (question, from) = loop {
-        match questions(names).pop() {
-            Some(question) => break question,
-            None if Instant::now() > until => panic!("no question"),
+/// Answers the next query with a list of one server.
+fn answer_query(name_service: &UdpSocket, serial: u32, server_name: &str, server: SocketAddr) {
+    let deadline = Instant::now() + RECEIVE_TIMEOUT;
+    let (query, sender) = loop {
+        match pending_queries(name_service).pop() {
+            Some(query) => break query,
+            None if Instant::now() > deadline => panic!("no query"),
             None => std::thread::sleep(Duration::from_millis(5)),
         }
     };
-    let answer = dns::list(&question, serial, &[(name, [127, 0, 0, 1], server.port())], "started=0");
-    names.send_to(&answer, from).unwrap();
+    let answer = dns::list(&query, serial, &[(server_name, [127, 0, 0, 1], server.port())], "started=0");
+    name_service.send_to(&answer, sender).unwrap();
 }
 
-/// A new server that only the list tells of takes a session; the one before has gone from the list.
-fn follows(b: &Bench, listener: std::net::TcpListener, id: u64) {
-    let mut server = Server::new(listener);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&wanted(id));
-    let (mut at, setup) = server.hears();
+/// Checks that a session is placed on a new server, which alone is in the list that the node last received.
+fn assert_places_on(node: &TestNode, listener: std::net::TcpListener, id: u64) {
+    let mut server = ScriptedServer::new(listener);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&setup_request(id));
+    let (mut server_connection, setup) = server.receive_request();
     assert!(setup.starts_with("SETUP"), "{setup}");
-    at.says(&reply(200, 1, id, "b=2\r\n"));
-    assert!(viewer.hears().starts_with("RTSP/1.0 200"));
+    server_connection.send(&response(200, 1, id, "b=2\r\n"));
+    assert!(viewer.receive().starts_with("RTSP/1.0 200"));
 }
 
-/// Answers that come seconds late, each after eight more questions.
+/// The first query is answered only after at least eleven more have been sent.
 #[test]
-fn a_list_that_always_comes_late_is_followed() {
-    let (b, _server) = Bench::by_hand(128, |t| t);
-    let late = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = late.local_addr().unwrap();
-    let mut asked = Vec::new();
-    while asked.len() < 12 {
-        asked.extend(questions(&b.names));
+fn late_list_answer_is_applied() {
+    let (node, _server) = TestNode::with_scripted_server(128, |text| text);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let mut queries = Vec::new();
+    while queries.len() < 12 {
+        queries.extend(pending_queries(&node.name_service));
         std::thread::sleep(Duration::from_millis(10));
     }
-    let (question, from) = &asked[0];
+    let (query, sender) = &queries[0];
     let answer =
-        dns::list(question, 9, &[("s-0000000b.depot-a.hosts", [127, 0, 0, 1], at.port())], "started=0");
-    b.names.send_to(&answer, from).unwrap();
-    follows(&b, late, 1);
+        dns::list(query, 9, &[("s-0000000b.depot-a.hosts", [127, 0, 0, 1], address.port())], "started=0");
+    node.name_service.send_to(&answer, sender).unwrap();
+    assert_places_on(&node, listener, 1);
 }
 
-/// The service begins its numbers anew. One lower number amid others is an older list; nothing else for
-/// seconds is not.
+/// The name service restarts its serial numbers. A single lower serial is an older list and is ignored; nothing but lower
+/// serials for several seconds is a restart, and the list is applied.
 #[test]
-fn numbers_that_begin_anew_are_followed_in_time() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let anew = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = anew.local_addr().unwrap();
-    told(&b.names, 40, "s-00000001.depot-a.hosts", b.server);
-    told(&b.names, 2, "s-0000000b.depot-a.hosts", at);
-    told(&b.names, 40, "s-00000001.depot-a.hosts", b.server);
-    let (mut viewer, mut first) = setup_out(&b, &mut server, 1);
-    first.says(&reply(200, 1, 1, "b=2\r\n"));
-    viewer.hears();
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_millis(limits::SERIAL_RESET_TIME as u64 + 700) {
-        told(&b.names, 2, "s-0000000b.depot-a.hosts", at);
+fn restarted_serial_numbers_are_accepted_in_time() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    answer_query(&node.name_service, 40, "s-00000001.depot-a.hosts", node.server_address);
+    answer_query(&node.name_service, 2, "s-0000000b.depot-a.hosts", address);
+    answer_query(&node.name_service, 40, "s-00000001.depot-a.hosts", node.server_address);
+    let (mut viewer, mut first) = start_setup(&node, &mut server, 1);
+    first.send(&response(200, 1, 1, "b=2\r\n"));
+    viewer.receive();
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_millis(limits::SERIAL_RESET_TIME as u64 + 700) {
+        answer_query(&node.name_service, 2, "s-0000000b.depot-a.hosts", address);
     }
-    follows(&b, anew, 2);
+    assert_places_on(&node, listener, 2);
 }
 
-/// Discovery is down, and idle connections take all the descriptors there are: those that ask are served,
-/// signals are heard, and the list is followed again once it is told.
+/// The name service does not answer, and idle connections take all descriptors: requests must be served, signals obeyed,
+/// and the list applied as soon as it arrives.
 #[test]
-fn idle_connections_while_discovery_is_down_harm_nobody() {
-    let (mut b, mut server) = Bench::by_hand(128, |t| t);
-    let idle: Vec<Peer> = (0..150)
-        .map(|n| {
-            let mut viewer = Peer::new(b.viewer());
-            // Half of them have brought something good, half are silent.
-            if n % 2 == 0 {
-                viewer.says(&wanted(1_000 + n));
-                let (mut at, _) = server.hears();
-                at.says(&(reply(200, 1, 1_000 + n, "b=2\r\n") + &teardown(1_000 + n, Some(31))));
-                assert!(viewer.hears().starts_with("RTSP/1.0 200"));
-                server.keeps(at);
+fn idle_connections_during_a_discovery_outage_block_nothing() {
+    let (mut node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let idle: Vec<Connection> = (0..150)
+        .map(|index| {
+            let mut viewer = Connection::new(node.connect_viewer());
+            // Half of the connections have carried a session, and half are silent.
+            if index % 2 == 0 {
+                viewer.send(&setup_request(1_000 + index));
+                let (mut server_connection, _) = server.receive_request();
+                server_connection.send(
+                    &(response(200, 1, 1_000 + index, "b=2\r\n")
+                        + &teardown_request(1_000 + index, Some(31))),
+                );
+                assert!(viewer.receive().starts_with("RTSP/1.0 200"));
+                server.add_connection(server_connection);
             }
             viewer
         })
         .collect();
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    assert!(viewer.hears().starts_with("RTSP/1.0 200"));
-    let moved = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let (old, new) = (b.names.local_addr().unwrap(), moved.local_addr().unwrap());
-    let text = std::fs::read_to_string(&b.document).unwrap().replace(&old.to_string(), &new.to_string());
-    std::fs::write(&b.document, text).unwrap();
-    b.signal("-HUP");
-    let next = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    told(&moved, 9, "s-0000000b.depot-a.hosts", next.local_addr().unwrap());
-    follows(&b, next, 2);
-    b.signal("-TERM");
-    assert!(b.child.wait().unwrap().success());
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    assert!(viewer.receive().starts_with("RTSP/1.0 200"));
+    let new_service = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let (old, new) = (node.name_service.local_addr().unwrap(), new_service.local_addr().unwrap());
+    let text = std::fs::read_to_string(&node.configuration_path)
+        .unwrap()
+        .replace(&old.to_string(), &new.to_string());
+    std::fs::write(&node.configuration_path, text).unwrap();
+    node.signal("-HUP");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    answer_query(&new_service, 9, "s-0000000b.depot-a.hosts", listener.local_addr().unwrap());
+    assert_places_on(&node, listener, 2);
+    node.signal("-TERM");
+    assert!(node.process.wait().unwrap().success());
     drop(idle);
 }
 
-/// A configuration that changes more than where the list comes from: told by its paths, and taken up in no
-/// part.
+/// The new configuration changes more than the source of the server list: the node must log the changed paths and apply
+/// nothing of it.
 #[test]
-fn a_configuration_that_changes_more_is_left_alone() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let moved = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let (old, new) = (b.names.local_addr().unwrap(), moved.local_addr().unwrap());
-    let text = std::fs::read_to_string(&b.document).unwrap();
+fn reload_that_needs_a_restart_is_not_applied() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let new_service = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let (old, new) = (node.name_service.local_addr().unwrap(), new_service.local_addr().unwrap());
+    let text = std::fs::read_to_string(&node.configuration_path).unwrap();
     let text =
         text.replace(&old.to_string(), &new.to_string()).replace("\"attempts_cap\":3", "\"attempts_cap\":1");
-    // The classes change places: taken up in part, one's viewers would get the other's terms.
+    // Swaps two class names: if they were applied without the rest, viewers of one class would get the other's settings.
     let text = text
         .replace("board-loop", "x")
         .replace("council-notice", "board-loop")
         .replace("\"x\"", "\"council-notice\"");
-    std::fs::write(&b.document, text).unwrap();
-    b.signal("-HUP");
-    let told =
-        std::iter::repeat_with(|| b.said.recv_timeout(WAIT).unwrap()).find(|l| l.contains("stays as it was"));
-    let told = told.unwrap();
+    std::fs::write(&node.configuration_path, text).unwrap();
+    node.signal("-HUP");
+    let line = std::iter::repeat_with(|| node.log_lines.recv_timeout(RECEIVE_TIMEOUT).unwrap())
+        .find(|line| line.contains("stays as it was"));
+    let line = line.unwrap();
     assert!(
-        told.contains("settings.limits.attempts_cap") && told.contains("settings.classes.0.name"),
-        "{told}"
+        line.contains("settings.limits.attempts_cap") && line.contains("settings.classes.0.name"),
+        "{line}"
     );
     std::thread::sleep(Duration::from_millis(300));
-    assert!(questions(&moved).is_empty());
-    let (mut viewer, mut at) = setup_out(&b, &mut server, 1);
-    at.says(&reply(500, 1, 1, ""));
-    server.keeps(at);
-    let (mut at, further) = server.hears();
+    assert!(pending_queries(&new_service).is_empty());
+    let (mut viewer, mut server_connection) = start_setup(&node, &mut server, 1);
+    server_connection.send(&response(500, 1, 1, ""));
+    server.add_connection(server_connection);
+    let (mut server_connection, further) = server.receive_request();
     assert!(further.starts_with("SETUP"), "{further}");
-    at.says(&reply(200, 1, 1, "b=2\r\n"));
-    assert!(viewer.hears().starts_with("RTSP/1.0 200"));
+    server_connection.send(&response(200, 1, 1, "b=2\r\n"));
+    assert!(viewer.receive().starts_with("RTSP/1.0 200"));
 }
 
-/// A node that starts while no server, no name service and no other node answers is ready all the same.
+/// Guards against a start that waits for a server, the name service or another node.
 #[test]
-fn ready_while_nobody_answers() {
-    let began = Instant::now();
-    let (b, server) = Bench::by_hand(128, |t| t);
+fn node_starts_without_server_or_name_service() {
+    let started = Instant::now();
+    let (node, server) = TestNode::with_scripted_server(128, |text| text);
     drop(server);
-    let mut front = Peer::new(b.viewer());
-    front.says(&ping(0));
-    assert!(front.hears().starts_with("RTSP/1.0 200"));
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&ping(0));
+    assert!(viewer.receive().starts_with("RTSP/1.0 200"));
+    assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
 }
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -1,5 +1,4 @@
-//! Processes of the front node that are told to stop, to read their configuration again, or are killed, and what
-//! becomes of the requests that come meanwhile; with real connections.
+//! Shutdown, reload and kill of the front node's process, and the requests that arrive meanwhile, with real connections.
 #[path = "support/node.rs"]
 mod node;
 
@@ -11,23 +10,23 @@
 use test_case::test_case;
 use walnutline_node::limits;
 
-/// By when a node has ended that was told to stop and whose viewers wait 3 s at most: before its kill.
-const BEFORE_THE_KILL: Duration = Duration::from_millis(3_700);
+/// A node must exit within this time after SIGTERM when its viewers wait 3 s at most, before the platform kills it.
+const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(3_700);
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-fn sleep_until(then: Instant) {
-    std::thread::sleep(then.saturating_duration_since(Instant::now()));
+fn sleep_until(deadline: Instant) {
+    std::thread::sleep(deadline.saturating_duration_since(Instant::now()));
 }
 
-/// Whether this viewer gets a whole answer to its request within that time.
-fn is_answered(viewer: &mut Peer, id: u64, within: Duration) -> bool {
+/// Whether the viewer receives a whole answer for this session within that time.
+fn is_answered(viewer: &mut Connection, id: u64, timeout: Duration) -> bool {
     let id = format!("{id:016x}");
-    let until = Instant::now() + within;
-    while let Some(left) = until.checked_duration_since(Instant::now()).filter(|d| !d.is_zero()) {
-        match viewer.hears_within(left) {
+    let deadline = Instant::now() + timeout;
+    while let Some(remaining) = deadline.checked_duration_since(Instant::now()).filter(|d| !d.is_zero()) {
+        match viewer.receive_within(remaining) {
             Some(message) if message.starts_with("RTSP/1.0") && message.contains(&id) => return true,
             Some(_) => {}
             None => return false,
@@ -36,297 +35,313 @@
     false
 }
 
-/// The process comes late to what was there in time: connections and their requests wait in the listener's queue
-/// while it stands still, and all that it waited for has come when it goes on.
+/// After SIGTERM the process is stopped for a while. Connections with requests enter the accept queue meanwhile, and the
+/// time in which requests are accepted passes: they must be answered all the same.
 #[test]
-fn requests_that_wait_to_be_taken_in_are_answered_before_the_end() {
-    const ALL: u64 = 30;
-    let mut b = Bench::start();
-    b.signal("-TERM");
-    let told = Instant::now();
-    sleep_until(told + ms(550));
-    b.signal("-STOP");
-    let mut waiting: Vec<Peer> = (0..ALL).map(|_| Peer::new(b.viewer())).collect();
-    waiting.iter_mut().zip(0..).for_each(|(v, id)| v.says(&wanted(id)));
-    // Late, yet not so late that it would notice that it stood still.
-    sleep_until(told + ms(770));
-    b.signal("-CONT");
-    let lost =
+fn requests_in_the_accept_queue_are_answered_before_exit() {
+    const REQUESTS: u64 = 30;
+    let mut node = TestNode::start();
+    node.signal("-TERM");
+    let signalled_at = Instant::now();
+    sleep_until(signalled_at + ms(550));
+    node.signal("-STOP");
+    let mut waiting: Vec<Connection> =
+        (0..REQUESTS).map(|_| Connection::new(node.connect_viewer())).collect();
+    waiting.iter_mut().zip(0..).for_each(|(v, id)| v.send(&setup_request(id)));
+    // Late, but not late enough for the process to notice that it was stopped.
+    sleep_until(signalled_at + ms(770));
+    node.signal("-CONT");
+    let unanswered =
         waiting.iter_mut().zip(0..).filter_map(|(v, id)| (!is_answered(v, id, ms(3_000))).then_some(id));
-    let lost: Vec<u64> = lost.collect();
-    assert!(lost.is_empty(), "{lost:?}");
+    let unanswered: Vec<u64> = unanswered.collect();
+    assert!(unanswered.is_empty(), "{unanswered:?}");
     drop(waiting);
-    assert!(b.ends_within(ms(5_000)).unwrap().success());
+    assert!(node.exit_status_within(ms(5_000)).unwrap().success());
 }
 
-/// All places are taken by viewers who wait for their answers, and one more has asked outside. They are answered when
-/// nothing but that keeps the process from its end.
+/// All descriptors are taken by viewers that wait for answers, and one more viewer with a request is still in the accept
+/// queue. It must be accepted and answered before the process exits.
 #[test]
-fn who_waits_for_a_place_is_answered_before_the_end() {
-    // A server that has room for all of them.
-    let large = |t: String| t.replace("\"weight\":3,", "\"weight\":3000,").replace("[35,24]", "[3500,2400]");
-    let (mut b, mut server) = Bench::by_hand(128, large);
-    b.signal("-TERM");
-    let told = Instant::now();
-    let mut inside = Vec::new();
-    // So many that the next one is not taken in.
-    let (mut outside, id) = loop {
-        let id = inside.len() as u64;
-        let mut viewer = Peer::new(b.viewer());
-        viewer.says(&wanted(id).replace("3000", "9000"));
-        match server.hears_within(ms(300)) {
-            Some((at, _)) => inside.push((viewer, id, at)),
+fn viewer_waiting_for_a_descriptor_is_answered_before_exit() {
+    // The server has capacity for all sessions.
+    let large_server =
+        |text: String| text.replace("\"weight\":3,", "\"weight\":3000,").replace("[35,24]", "[3500,2400]");
+    let (mut node, mut server) = TestNode::with_scripted_server(128, large_server);
+    node.signal("-TERM");
+    let signalled_at = Instant::now();
+    let mut accepted = Vec::new();
+    // Opens connections until one is not accepted.
+    let (mut queued, id) = loop {
+        let id = accepted.len() as u64;
+        let mut viewer = Connection::new(node.connect_viewer());
+        viewer.send(&setup_request(id).replace("3000", "9000"));
+        match server.receive_request_within(ms(300)) {
+            Some((server_connection, _)) => accepted.push((viewer, id, server_connection)),
             None => {
-                assert_eq!(viewer.hears_within(ms(20)), None, "it was taken in");
+                assert_eq!(viewer.receive_within(ms(20)), None, "the connection was accepted");
                 break (viewer, id);
             }
         }
-        assert!(inside.len() < 120, "there is a place for everyone");
+        assert!(accepted.len() < 120, "the node accepts every connection");
     };
-    sleep_until(told + ms(limits::MAX_SHUTDOWN_WAIT as u64 + limits::SHUTDOWN_SESSION_GRACE as u64 + 100));
+    sleep_until(
+        signalled_at + ms(limits::MAX_SHUTDOWN_WAIT as u64 + limits::SHUTDOWN_SESSION_GRACE as u64 + 100),
+    );
     let mut answered = Vec::new();
-    for (viewer, id, mut at) in inside {
-        at.says(&(reply(200, 1, id, "b=2\r\n") + &teardown(id, Some(31))));
-        server.keeps(at);
+    for (viewer, id, mut server_connection) in accepted {
+        server_connection.send(&(response(200, 1, id, "b=2\r\n") + &teardown_request(id, Some(31))));
+        server.add_connection(server_connection);
         answered.push(viewer);
     }
-    if let Some((mut at, _)) = server.hears_within(ms(1_000)) {
-        at.says(&reply(200, 1, id, "b=2\r\n"));
-        server.keeps(at);
+    if let Some((mut server_connection, _)) = server.receive_request_within(ms(1_000)) {
+        server_connection.send(&response(200, 1, id, "b=2\r\n"));
+        server.add_connection(server_connection);
     }
-    assert!(is_answered(&mut outside, id, ms(1_000)));
-    assert!(b.ends_within(ms(1_000)).expect("an end").success());
+    assert!(is_answered(&mut queued, id, ms(1_000)));
+    assert!(node.exit_status_within(ms(1_000)).expect("the process exits").success());
 }
 
-/// A head that comes before SIGTERM and a body after the time when a node with nothing to do ends.
+/// The headers arrive before SIGTERM, and the body after the time at which an idle node exits.
 #[test]
-fn a_request_of_which_a_part_is_there_is_waited_for() {
-    let mut b = Bench::start();
-    let mut viewer = Peer::new(b.viewer());
-    let text = wanted(1);
+fn partly_received_request_is_answered_before_exit() {
+    let mut node = TestNode::start();
+    let mut viewer = Connection::new(node.connect_viewer());
+    let text = setup_request(1);
     let (head, body) = text.split_at(text.len() - 5);
-    viewer.says(head);
+    viewer.send(head);
     std::thread::sleep(ms(50));
-    b.signal("-TERM");
-    let told = Instant::now();
-    sleep_until(told + ms(1_200));
-    viewer.says(body);
+    node.signal("-TERM");
+    let signalled_at = Instant::now();
+    sleep_until(signalled_at + ms(1_200));
+    viewer.send(body);
     assert!(is_answered(&mut viewer, 1, ms(2_000)));
     drop(viewer);
-    assert!(b.ends_within(BEFORE_THE_KILL.saturating_sub(told.elapsed())).unwrap().success());
+    assert!(node
+        .exit_status_within(MAX_SHUTDOWN_TIME.saturating_sub(signalled_at.elapsed()))
+        .unwrap()
+        .success());
 }
 
-/// A request in two pieces, the second 2 s after the first, on a new connection.
+/// A request in two parts on a new connection, the second part more than 2 s after the first.
 #[test_case(10; "within the first line")]
-#[test_case(120; "within a field")]
-#[test_case(usize::MAX; "before its body")]
-fn a_request_that_comes_in_pieces_is_answered(at: usize) {
-    let b = Bench::start();
-    let mut viewer = Peer::new(b.viewer());
-    let text = wanted(1);
-    let (first, second) = text.split_at(at.min(text.len() - 5));
-    viewer.says(first);
-    // Longer than any that may be closed for its silence.
+#[test_case(120; "within a header")]
+#[test_case(usize::MAX; "within the body")]
+fn request_received_in_two_parts_is_answered(split_at: usize) {
+    let node = TestNode::start();
+    let mut viewer = Connection::new(node.connect_viewer());
+    let text = setup_request(1);
+    let (first, second) = text.split_at(split_at.min(text.len() - 5));
+    viewer.send(first);
+    // Longer than the time after which a silent connection may be closed.
     std::thread::sleep(ms(2_300));
-    viewer.says(second);
+    viewer.send(second);
     assert!(is_answered(&mut viewer, 1, ms(2_000)));
 }
 
-/// Three requests in one piece but for the end of the last one.
+/// Three requests in one write, except the end of the last one.
 #[test]
-fn whole_requests_do_not_wait_for_one_that_is_cut() {
-    let b = Bench::start();
-    let mut viewer = Peer::new(b.viewer());
-    let last = wanted(3);
+fn whole_requests_are_answered_before_a_partial_one() {
+    let node = TestNode::start();
+    let mut viewer = Connection::new(node.connect_viewer());
+    let last = setup_request(3);
     let (head, body) = last.split_at(last.len() - 3);
-    viewer.says(&format!("{}{}{head}", wanted(1), wanted(2)));
-    let mut told = [viewer.hears(), viewer.hears()].map(|m| session_of(&m).to_owned());
-    told.sort();
-    assert_eq!(told, ["Session: 0000000000000001", "Session: 0000000000000002"]);
-    viewer.says(body);
+    viewer.send(&format!("{}{}{head}", setup_request(1), setup_request(2)));
+    let mut answered =
+        [viewer.receive(), viewer.receive()].map(|message| session_header(&message).to_owned());
+    answered.sort();
+    assert_eq!(answered, ["Session: 0000000000000001", "Session: 0000000000000002"]);
+    viewer.send(body);
     assert!(is_answered(&mut viewer, 3, ms(2_000)));
 }
 
-/// A configuration whose reading never ends: SIGTERM is heard all the same.
+/// The configuration is a pipe, so that reading it never ends: SIGTERM must still be obeyed.
 #[test]
-fn a_reload_that_hangs_holds_up_no_stop() {
-    let mut b = Bench::start();
-    std::fs::remove_file(&b.document).unwrap();
-    assert!(Command::new("mkfifo").arg(&b.document).status().unwrap().success());
-    b.signal("-HUP");
+fn hanging_reload_does_not_delay_shutdown() {
+    let mut node = TestNode::start();
+    std::fs::remove_file(&node.configuration_path).unwrap();
+    assert!(Command::new("mkfifo").arg(&node.configuration_path).status().unwrap().success());
+    node.signal("-HUP");
     std::thread::sleep(ms(100));
-    let mut viewer = Peer::new(b.viewer());
-    b.signal("-TERM");
-    viewer.says(&wanted(1));
+    let mut viewer = Connection::new(node.connect_viewer());
+    node.signal("-TERM");
+    viewer.send(&setup_request(1));
     assert!(is_answered(&mut viewer, 1, ms(2_000)));
-    assert!(b.ends_within(BEFORE_THE_KILL).expect("an end").success());
+    assert!(node.exit_status_within(MAX_SHUTDOWN_TIME).expect("the process exits").success());
 }
 
-/// A reload, and at once the order to stop: the new name service is asked, what comes is answered, the end is in
+/// SIGHUP followed at once by SIGTERM: the new name service is queried, requests are answered, and the process exits in
 /// time.
 #[test]
-fn a_reload_followed_by_a_stop_does_both() {
-    let mut b = Bench::start();
-    let moved = UdpSocket::bind("127.0.0.1:0").unwrap();
-    moved.set_read_timeout(Some(WAIT)).unwrap();
-    let (old, new) = (b.names.local_addr().unwrap(), moved.local_addr().unwrap());
-    let text = std::fs::read_to_string(&b.document).unwrap().replace(&old.to_string(), &new.to_string());
-    std::fs::write(&b.document, text).unwrap();
-    let mut viewer = Peer::new(b.viewer());
-    b.signal("-HUP");
-    b.signal("-TERM");
-    let told = Instant::now();
+fn reload_followed_by_shutdown_does_both() {
+    let mut node = TestNode::start();
+    let new_service = UdpSocket::bind("127.0.0.1:0").unwrap();
+    new_service.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
+    let (old, new) = (node.name_service.local_addr().unwrap(), new_service.local_addr().unwrap());
+    let text = std::fs::read_to_string(&node.configuration_path)
+        .unwrap()
+        .replace(&old.to_string(), &new.to_string());
+    std::fs::write(&node.configuration_path, text).unwrap();
+    let mut viewer = Connection::new(node.connect_viewer());
+    node.signal("-HUP");
+    node.signal("-TERM");
+    let signalled_at = Instant::now();
     for id in 0..20 {
-        viewer.says(&wanted(id));
+        viewer.send(&setup_request(id));
         assert!(is_answered(&mut viewer, id, ms(2_000)), "{id}");
         std::thread::sleep(ms(25));
     }
-    moved.recv_from(&mut [0; 512]).expect("a question at the new name service");
-    assert!(b.ends_within(BEFORE_THE_KILL.saturating_sub(told.elapsed())).unwrap().success());
+    new_service.recv_from(&mut [0; 512]).expect("a query at the new name service");
+    assert!(node
+        .exit_status_within(MAX_SHUTDOWN_TIME.saturating_sub(signalled_at.elapsed()))
+        .unwrap()
+        .success());
 }
 
-/// With nothing owed it ends well before the kill, though idle viewers keep their connections.
+/// Without open requests the process exits well before it would be killed, though idle viewers stay connected.
 #[test]
-fn idle_viewers_do_not_keep_it_from_ending() {
-    let mut b = Bench::start();
-    let idle: Vec<Peer> = (0..20).map(|_| Peer::new(b.viewer())).collect();
-    b.signal("-TERM");
-    assert!(b.ends_within(ms(1_500)).expect("an end").success());
+fn idle_viewers_do_not_delay_shutdown() {
+    let mut node = TestNode::start();
+    let idle: Vec<Connection> = (0..20).map(|_| Connection::new(node.connect_viewer())).collect();
+    node.signal("-TERM");
+    assert!(node.exit_status_within(ms(1_500)).expect("the process exits").success());
     drop(idle);
 }
 
-/// The line at the end: what was taken is answered, given up or open, and all of it adds up.
+/// The log line at exit counts the requests received: each was answered, given up by its viewer, or is still open.
 #[test]
-fn the_account_at_the_end_adds_up_under_load() {
-    const EACH: u64 = 60;
+fn request_counts_at_exit_add_up_under_load() {
+    const REQUESTS_EACH: u64 = 60;
     const VIEWERS: u64 = 4;
-    let mut b = Bench::start();
-    let address = b.address;
+    let mut node = TestNode::start();
+    let address = node.address;
     let viewers: Vec<_> = (0..VIEWERS)
         .map(|n| {
             std::thread::spawn(move || {
-                let mut viewer = Peer::new(std::net::TcpStream::connect(address).unwrap());
+                let mut viewer = Connection::new(std::net::TcpStream::connect(address).unwrap());
                 let mut answered = 0;
-                for k in 0..EACH {
-                    let id = 1 + n * EACH + k;
+                for k in 0..REQUESTS_EACH {
+                    let id = 1 + n * REQUESTS_EACH + k;
                     match k % 6 {
-                        // Given up in the same bytes.
-                        0 => viewer.says(&(wanted(id) + &teardown(id, None))),
-                        // Refused, as nobody knows its class.
-                        1 => viewer.says(&wanted(id).replace("board-loop", "nobody")),
-                        _ => viewer.says(&wanted(id)),
+                        // Withdrawn in the same write.
+                        0 => viewer.send(&(setup_request(id) + &teardown_request(id, None))),
+                        // Refused for its unknown class.
+                        1 => viewer.send(&setup_request(id).replace("board-loop", "nobody")),
+                        _ => viewer.send(&setup_request(id)),
                     }
-                    answered += u64::from(k % 6 != 0 && is_answered(&mut viewer, id, WAIT));
+                    answered += u64::from(k % 6 != 0 && is_answered(&mut viewer, id, RECEIVE_TIMEOUT));
                 }
-                // One more, and away.
-                viewer.says(&(wanted(10_000 + n) + &teardown(10_000 + n, None)));
-                // The answers to what it gave up have been read by then.
-                viewer.says("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
-                while !viewer.hears().contains("CSeq: 3") {}
+                // One more request, withdrawn at once.
+                viewer.send(&(setup_request(10_000 + n) + &teardown_request(10_000 + n, None)));
+                // When the ping is answered, the answers to the withdrawn requests have been read.
+                viewer.send("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
+                while !viewer.receive().contains("CSeq: 3") {}
                 answered
             })
         })
         .collect();
     let answered: u64 = viewers.into_iter().map(|v| v.join().unwrap()).sum();
-    let given_up = VIEWERS * (EACH / 6 + 1);
-    b.signal("-TERM");
-    assert!(b.ends_within(BEFORE_THE_KILL).unwrap().success());
-    let said: Vec<String> = b.said.iter().collect();
-    let line = said.iter().find(|l| l.contains("stopped ")).expect("an account");
+    let given_up = VIEWERS * (REQUESTS_EACH / 6 + 1);
+    node.signal("-TERM");
+    assert!(node.exit_status_within(MAX_SHUTDOWN_TIME).unwrap().success());
+    let lines: Vec<String> = node.log_lines.iter().collect();
+    let line = lines.iter().find(|line| line.contains("stopped ")).expect("the node logs its request counts");
     let taken = answered + given_up;
-    let account = format!("taken={taken} answered={answered} given_up={given_up} open=0");
-    assert!(line.contains(&account), "{line}, not {account}");
-    assert_eq!(answered, VIEWERS * EACH - VIEWERS * EACH / 6);
+    let counts = format!("taken={taken} answered={answered} given_up={given_up} open=0");
+    assert!(line.contains(&counts), "{line}, not {counts}");
+    assert_eq!(answered, VIEWERS * REQUESTS_EACH - VIEWERS * REQUESTS_EACH / 6);
 }
 
-/// Killed right after it took a connection in; in the new process, sessions are handed over and the first request
-/// comes in the same bytes.
+/// The process is killed right after it accepted a connection. The new one must serve a write that holds a SETUP between
+/// two requests that take over sessions already placed on the server.
 #[test]
-fn a_process_killed_right_after_an_accept_is_followed_by_one_that_serves() {
-    let (mut b, mut server) = Bench::by_hand(128, |t| t);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&wanted(1));
-    let (_, setup) = server.hears();
+fn process_after_a_kill_takes_over_sessions_and_serves_requests() {
+    let (mut node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&setup_request(1));
+    let (_, setup) = server.receive_request();
     assert!(setup.starts_with("SETUP"), "{setup}");
-    let _taken_in = Peer::new(b.viewer());
-    b.restart();
-    let mut viewer = Peer::new(b.viewer());
-    let at = |id| wanted(id).replace("3000", "4294967").replace("top:4;", "top:4;at:s-00000001;");
-    viewer.says(&format!("{}{}{}", at(2), wanted(3), at(4)));
-    let (mut at, setup) = loop {
-        match server.hears() {
-            (at, message) if message.starts_with("SETUP") => break (at, message),
-            // The rungs of those that were handed over.
-            (at, _) => server.keeps(at),
+    let _accepted = Connection::new(node.connect_viewer());
+    node.restart();
+    let mut viewer = Connection::new(node.connect_viewer());
+    let existing_session =
+        |id| setup_request(id).replace("3000", "4294967").replace("top:4;", "top:4;at:s-00000001;");
+    viewer.send(&format!("{}{}{}", existing_session(2), setup_request(3), existing_session(4)));
+    let (mut server_connection, setup) = loop {
+        match server.receive_request() {
+            (connection, message) if message.starts_with("SETUP") => break (connection, message),
+            // The rungs of the sessions taken over.
+            (connection, _) => server.add_connection(connection),
         }
     };
     assert!(setup.contains("0000000000000003"), "{setup}");
-    at.says(&(reply(200, 1, 3, "b=2\r\n") + &teardown(2, Some(16)) + &teardown(4, Some(41))));
-    let told: Vec<String> = (0..3).map(|_| viewer.hears()).collect();
-    let has = |a: &str, b: &str| told.iter().any(|m| m.contains(a) && m.contains(b));
-    assert!(has("RTSP/1.0 200", "0000000000000003"), "{told:?}");
-    assert!(has("cause=16", "0000000000000002") && has("cause=41", "0000000000000004"), "{told:?}");
+    server_connection.send(
+        &(response(200, 1, 3, "b=2\r\n") + &teardown_request(2, Some(16)) + &teardown_request(4, Some(41))),
+    );
+    let messages: Vec<String> = (0..3).map(|_| viewer.receive()).collect();
+    let has = |first: &str, second: &str| messages.iter().any(|m| m.contains(first) && m.contains(second));
+    assert!(has("RTSP/1.0 200", "0000000000000003"), "{messages:?}");
+    assert!(has("cause=16", "0000000000000002") && has("cause=41", "0000000000000004"), "{messages:?}");
 }
 
-/// After each trouble every process of a small fleet still takes a request and answers it.
+/// Four processes go through a series of faults; after each one, every process must still answer a new request.
 #[test]
-fn every_process_of_a_small_fleet_serves_after_each_trouble() {
-    let mut fleet: Vec<Bench> = (0..4).map(|_| Bench::start()).collect();
-    let mut next = 0;
-    let mut serve = |fleet: &[Bench], after: &str| {
-        for (n, b) in fleet.iter().enumerate() {
-            next += 1;
-            let mut viewer = Peer::new(b.viewer());
-            viewer.says(&wanted(next));
-            let answer = viewer.hears();
+fn every_process_answers_after_each_fault() {
+    let mut fleet: Vec<TestNode> = (0..4).map(|_| TestNode::start()).collect();
+    let mut next_id = 0;
+    let mut serve = |fleet: &[TestNode], after: &str| {
+        for (n, node) in fleet.iter().enumerate() {
+            next_id += 1;
+            let mut viewer = Connection::new(node.connect_viewer());
+            viewer.send(&setup_request(next_id));
+            let answer = viewer.receive();
             assert!(answer.starts_with("RTSP/1.0 200"), "process {n} after {after}: {answer}");
         }
     };
     serve(&fleet, "the start");
-    let crowds: Vec<Vec<Peer>> =
-        fleet.iter().map(|b| (0..200).map(|_| Peer::new(b.viewer())).collect()).collect();
-    serve(&fleet, "a crowd that stays silent");
-    drop(crowds);
-    serve(&fleet, "its end");
-    let begun: Vec<Vec<Peer>> = fleet
+    let silent: Vec<Vec<Connection>> =
+        fleet.iter().map(|node| (0..200).map(|_| Connection::new(node.connect_viewer())).collect()).collect();
+    serve(&fleet, "200 silent connections each");
+    drop(silent);
+    serve(&fleet, "the end of the silent connections");
+    let partial: Vec<Vec<Connection>> = fleet
         .iter()
-        .map(|b| {
-            let mut all: Vec<Peer> = (0..60).map(|_| Peer::new(b.viewer())).collect();
-            // The node may have closed one already for want of room.
+        .map(|node| {
+            let mut all: Vec<Connection> = (0..60).map(|_| Connection::new(node.connect_viewer())).collect();
+            // The node may have closed some of them already, as descriptors run short.
             all.iter_mut().for_each(|v| drop(std::io::Write::write_all(&mut v.stream, b"SETUP rtsp://")));
             all
         })
         .collect();
-    serve(&fleet, "requests that were begun");
-    begun.into_iter().flatten().for_each(Peer::resets);
+    serve(&fleet, "incomplete requests");
+    partial.into_iter().flatten().for_each(Connection::reset);
     serve(&fleet, "resets");
-    for b in &fleet {
-        std::fs::write(&b.document, "{").unwrap();
-        b.signal("-HUP");
+    for node in &fleet {
+        std::fs::write(&node.configuration_path, "{").unwrap();
+        node.signal("-HUP");
     }
-    serve(&fleet, "a configuration that can't be read");
-    for b in &fleet {
-        b.signal("-STOP");
+    serve(&fleet, "a configuration that can't be parsed");
+    for node in &fleet {
+        node.signal("-STOP");
     }
     std::thread::sleep(ms(500));
-    for b in &fleet {
-        b.signal("-CONT");
+    for node in &fleet {
+        node.signal("-CONT");
     }
-    serve(&fleet, "standing still");
-    // The server of one dies and is there again: its sessions are released, and it is asked again.
-    let b = &mut fleet[0];
-    b.fate.store(DIES, Ordering::SeqCst);
-    let _ = std::net::TcpStream::connect(b.server);
+    serve(&fleet, "a stop of 500 ms");
+    // The server of one node dies and comes back: its sessions are released, and it must get requests again.
+    let node = &mut fleet[0];
+    node.server_mode.store(SERVER_STOPS, Ordering::SeqCst);
+    let _ = std::net::TcpStream::connect(node.server_address);
     std::thread::sleep(ms(300));
-    b.revive(TcpListener::bind(b.server).unwrap());
-    let until = Instant::now() + WAIT;
-    let served = (9_000..).take_while(|_| Instant::now() < until).any(|id| {
-        let mut viewer = Peer::new(fleet[0].viewer());
-        viewer.says(&wanted(id));
+    node.restart_server(TcpListener::bind(node.server_address).unwrap());
+    let deadline = Instant::now() + RECEIVE_TIMEOUT;
+    let served = (9_000..).take_while(|_| Instant::now() < deadline).any(|id| {
+        let mut viewer = Connection::new(fleet[0].connect_viewer());
+        viewer.send(&setup_request(id));
         // Releases of the sessions that ended with the server come on the same connection.
-        let answer = std::iter::repeat_with(|| viewer.hears()).find(|m| m.starts_with("RTSP/1.0")).unwrap();
+        let answer = std::iter::repeat_with(|| viewer.receive()).find(|m| m.starts_with("RTSP/1.0")).unwrap();
         std::thread::sleep(ms(100));
         answer.starts_with("RTSP/1.0 200")
     });
-    assert!(served, "never again");
+    assert!(served, "no request answered after the server came back");
 }
--- a/crates/cli/tests/sockets.rs
+++ b/crates/cli/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Descriptors and polling of a node's process, with real connections.
+//! Checks with real connections that the front node leaks no descriptors and that no connection starves another.
 #[path = "support/node.rs"]
 mod node;
 
@@ -12,118 +12,120 @@
 
 const PING: &str = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n";
 
-fn descriptors(b: &Bench) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", b.child.id())).unwrap().count()
+fn open_descriptors(node: &TestNode) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count()
 }
 
-/// Connections to a server that never come up give their descriptors back, shut or not by an event: one in fifty
-/// never came up on the operators' platform, and each left one behind.
+/// Guards against a descriptor leak for each connection to a server that is never established, whether or not an event
+/// reports its end. One connection in fifty is never established on the operators' platform.
 #[test]
-fn connections_that_never_come_up_leave_no_descriptor() {
-    let (b, _server) = Bench::by_hand(128, |t| t);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(PING);
-    viewer.hears();
-    let before = descriptors(&b);
-    let filled = fill(b.server);
+fn connections_never_established_leak_no_descriptor() {
+    let (node, _server) = TestNode::with_scripted_server(128, |text| text);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(PING);
+    viewer.receive();
+    let before = open_descriptors(&node);
+    let queued = fill_accept_queue(node.server_address);
     for id in 1..=12 {
-        viewer.says(&wanted(id));
-        let refused = viewer.hears();
+        viewer.send(&setup_request(id));
+        let refused = viewer.receive();
         assert!(refused.starts_with("RTSP/1.0 503"), "{refused}");
     }
-    // Longer than one of them may take to come up.
+    // Longer than the connect time-out.
     std::thread::sleep(Duration::from_millis(600));
     assert!(
-        descriptors(&b) <= before + limits::MAX_CONNECTIONS_PER_SERVER,
+        open_descriptors(&node) <= before + limits::MAX_CONNECTIONS_PER_SERVER,
         "{} after {before}",
-        descriptors(&b)
+        open_descriptors(&node)
     );
-    drop(filled);
+    drop(queued);
 }
 
-/// A viewer that goes without a word, while its connection is silent, gives its descriptor back; so does one that
-/// the node closes for its silence.
+/// Descriptors are released both for silent connections that the viewer closes and for those that the node closes for
+/// their silence.
 #[test]
-fn silent_connections_leave_no_descriptor() {
-    let (b, _server) = Bench::by_hand(128, |t| t);
-    let mut viewer = Peer::new(b.viewer());
+fn silent_connections_leak_no_descriptor() {
+    let (node, _server) = TestNode::with_scripted_server(128, |text| text);
+    let mut viewer = Connection::new(node.connect_viewer());
     let before = {
-        viewer.says(PING);
-        viewer.hears();
-        descriptors(&b)
+        viewer.send(PING);
+        viewer.receive();
+        open_descriptors(&node)
     };
-    let (closed, silent): (Vec<_>, Vec<_>) =
-        (0..30).map(|_| Peer::new(b.viewer())).enumerate().partition(|(n, _)| n % 2 == 0);
+    let (closed, silent): (Vec<_>, Vec<_>) = (0..30)
+        .map(|_| Connection::new(node.connect_viewer()))
+        .enumerate()
+        .partition(|(index, _)| index % 2 == 0);
     drop(closed);
-    for (_, mut s) in silent {
-        assert_eq!(s.stream.read(&mut [0; 1]).unwrap(), 0, "closed within 20 s");
+    for (_, mut connection) in silent {
+        assert_eq!(connection.stream.read(&mut [0; 1]).unwrap(), 0, "closed within 20 s");
     }
-    let until = Instant::now() + WAIT;
-    while descriptors(&b) > before && Instant::now() < until {
+    let deadline = Instant::now() + RECEIVE_TIMEOUT;
+    while open_descriptors(&node) > before && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(descriptors(&b) <= before, "{} after {before}", descriptors(&b));
+    assert!(open_descriptors(&node) <= before, "{} after {before}", open_descriptors(&node));
 }
 
-/// A viewer ends its session, at its server, in the moment of the answer: the answer goes out all the same, and the log
-/// tells of it.
+/// The viewer ends its session at the server while the answer to its SETUP is on its way: the answer is still sent, and
+/// the log records the end.
 #[test]
-fn an_end_that_crosses_the_answer_is_told_in_the_log() {
-    let (b, mut server) = Bench::by_hand(128, |t| t);
-    let mut viewer = Peer::new(b.viewer());
-    viewer.says(&wanted(1));
-    let (mut at, _) = server.hears();
-    at.says(&(reply(200, 1, 1, "b=2\r\n") + &teardown(1, Some(31))));
-    assert!(viewer.hears().starts_with("RTSP/1.0 200"));
-    let told = std::iter::repeat_with(|| b.said.recv_timeout(WAIT).unwrap())
-        .find(|l| l.contains("ended by its viewer"));
-    assert!(told.unwrap().contains("session 0000000000000001"));
+fn session_end_that_crosses_the_answer_is_logged() {
+    let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
+    let mut viewer = Connection::new(node.connect_viewer());
+    viewer.send(&setup_request(1));
+    let (mut server_connection, _) = server.receive_request();
+    server_connection.send(&(response(200, 1, 1, "b=2\r\n") + &teardown_request(1, Some(31))));
+    assert!(viewer.receive().starts_with("RTSP/1.0 200"));
+    let line = std::iter::repeat_with(|| node.log_lines.recv_timeout(RECEIVE_TIMEOUT).unwrap())
+        .find(|line| line.contains("ended by its viewer"));
+    assert!(line.unwrap().contains("session 0000000000000001"));
 }
 
-/// One viewer sends without end, and reads what it is told: another one is heard at once all the same.
+/// One viewer sends without pause and reads its answers; another one is still answered within 500 ms.
 #[test]
-fn who_sends_without_end_holds_up_nobody() {
-    let b = Bench::start();
-    let flood = b.viewer();
+fn viewer_that_sends_without_pause_does_not_delay_others() {
+    let node = TestNode::start();
+    let flood = node.connect_viewer();
     let done = Arc::new(AtomicBool::new(false));
-    let (mut reads, mut sends, stop) = (flood.try_clone().unwrap(), flood, done.clone());
+    let (mut read_half, mut write_half, stop) = (flood.try_clone().unwrap(), flood, done.clone());
     let reader = std::thread::spawn(move || {
         let mut buffer = [0; 65_536];
-        while reads.read(&mut buffer).is_ok_and(|n| n > 0) {}
+        while read_half.read(&mut buffer).is_ok_and(|n| n > 0) {}
     });
     let sender = std::thread::spawn(move || {
-        let many = PING.repeat(500);
-        while !stop.load(Ordering::SeqCst) && sends.write_all(many.as_bytes()).is_ok() {}
-        let _ = sends.shutdown(std::net::Shutdown::Both);
+        let pings = PING.repeat(500);
+        while !stop.load(Ordering::SeqCst) && write_half.write_all(pings.as_bytes()).is_ok() {}
+        let _ = write_half.shutdown(std::net::Shutdown::Both);
     });
-    let mut other = Peer::new(b.viewer());
+    let mut other = Connection::new(node.connect_viewer());
     for id in 1..=50 {
-        let began = Instant::now();
-        // Ended as soon as it stands: its server has no room for all of them.
-        other.says(&wanted(id));
-        assert!(other.hears().starts_with("RTSP/1.0 200"));
-        other.says(&teardown(id, Some(31)));
-        while !other.hears().contains("CSeq: 2") {}
-        assert!(began.elapsed() < Duration::from_millis(500), "{:?}", began.elapsed());
+        let started = Instant::now();
+        // Each session is ended at once, as the server has no capacity for all of them.
+        other.send(&setup_request(id));
+        assert!(other.receive().starts_with("RTSP/1.0 200"));
+        other.send(&teardown_request(id, Some(31)));
+        while !other.receive().contains("CSeq: 2") {}
+        assert!(started.elapsed() < Duration::from_millis(500), "{:?}", started.elapsed());
     }
     done.store(true, Ordering::SeqCst);
     sender.join().unwrap();
     reader.join().unwrap();
 }
 
-/// Connections that end while others begin: each new one is heard, whatever number its descriptor has.
+/// Connections close while others open, so that descriptor numbers are reused: each new connection must be polled.
 #[test]
-fn descriptors_used_again_are_still_polled() {
-    let b = Bench::start();
-    let (ends, to_end) = channel::<Peer>();
-    // Others go away all the time.
-    let closer = std::thread::spawn(move || to_end.iter().for_each(drop));
-    for n in 0..3_000 {
-        let mut viewer = Peer::new(b.viewer());
-        viewer.says(PING);
-        assert!(viewer.hears_within(Duration::from_secs(5)).is_some(), "round {n}: nothing heard");
-        ends.send(viewer).unwrap();
+fn reused_descriptors_are_polled() {
+    let node = TestNode::start();
+    let (close_sender, to_close) = channel::<Connection>();
+    // Closes connections while the loop below opens new ones.
+    let closer = std::thread::spawn(move || to_close.iter().for_each(drop));
+    for round in 0..3_000 {
+        let mut viewer = Connection::new(node.connect_viewer());
+        viewer.send(PING);
+        assert!(viewer.receive_within(Duration::from_secs(5)).is_some(), "round {round}: no answer");
+        close_sender.send(viewer).unwrap();
     }
-    drop(ends);
+    drop(close_sender);
     closer.join().unwrap();
 }
--- a/crates/cli/tests/support/node.rs
+++ b/crates/cli/tests/support/node.rs
@@ -1,6 +1,5 @@
-//! The binary of a node on loopback, beside a scripted server, a scripted name service and viewers. A server
-//! either answers by itself, or takes what a test does by hand: then the test holds back, releases and resets
-//! what it likes.
+//! Runs the front node's binary on loopback, with a test server, a test name service and viewer connections. The
+//! server either answers automatically, or is scripted: then the test decides what is answered, delayed or reset.
 #![allow(dead_code)]
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -11,161 +10,205 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub const NODE: &str = include_str!("../../../platform/tests/node.json");
-/// What becomes of the scripted server.
-pub const SERVES: u8 = 0;
-pub const DIES: u8 = 1;
-pub const SILENT: u8 = 2;
-pub const WAIT: Duration = Duration::from_secs(20);
-
-/// A node with one server that answers every SETUP and probe, and hands out what else it reads.
-pub struct Bench {
-    pub child: Child,
+/// Configuration that each test node starts from.
+pub const NODE_CONFIGURATION: &str = include_str!("../../../platform/tests/node.json");
+/// Mode of the automatic server: it answers requests.
+pub const SERVER_ANSWERS: u8 = 0;
+/// Mode of the automatic server: it closes its listener and all connections at the next connection.
+pub const SERVER_STOPS: u8 = 1;
+/// Mode of the automatic server: it keeps its connections open but answers and accepts nothing.
+pub const SERVER_SILENT: u8 = 2;
+/// How long a test waits for a message, datagram or log line.
+pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A running front node with the one server and the name service that it is configured with.
+pub struct TestNode {
+    pub process: Child,
     pub address: SocketAddr,
-    pub document: PathBuf,
-    pub names: UdpSocket,
-    pub server: SocketAddr,
-    pub fate: Arc<AtomicU8>,
-    pub heard: Receiver<(TcpStream, String)>,
-    /// Lines of its log.
-    pub said: Receiver<String>,
-    descriptors: usize,
-    _folder: tempfile::TempDir,
+    pub configuration_path: PathBuf,
+    /// Socket of the name service, on which the node's queries arrive.
+    pub name_service: UdpSocket,
+    pub server_address: SocketAddr,
+    /// One of `SERVER_ANSWERS`, `SERVER_STOPS` and `SERVER_SILENT`; read by an automatic server only.
+    pub server_mode: Arc<AtomicU8>,
+    /// What an automatic server has read except OPTIONS, with the connection that it came on.
+    pub server_requests: Receiver<(TcpStream, String)>,
+    /// Lines that the node logs after its start.
+    pub log_lines: Receiver<String>,
+    max_descriptors: usize,
+    _directory: tempfile::TempDir,
 }
 
-impl Bench {
-    /// A node whose server answers by itself.
-    pub fn start() -> Bench {
+impl TestNode {
+    /// Starts a node whose server answers every SETUP and probe automatically.
+    pub fn start() -> TestNode {
         let server = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (to, heard) = channel();
-        let (at, fate) = (server.local_addr().unwrap(), Arc::new(AtomicU8::new(SERVES)));
-        let met = fate.clone();
-        std::thread::spawn(move || serve_all(server, &to, &met));
-        Bench::with(at, fate, heard, 128, |text| text)
+        let (request_sender, server_requests) = channel();
+        let server_address = server.local_addr().unwrap();
+        let server_mode = Arc::new(AtomicU8::new(SERVER_ANSWERS));
+        let mode = server_mode.clone();
+        std::thread::spawn(move || run_automatic_server(server, &request_sender, &mode));
+        TestNode::start_with(server_address, server_mode, server_requests, 128, |text| text)
     }
 
-    /// A node whose server is in the test's hands, with so many descriptors and the configuration changed.
-    pub fn by_hand(descriptors: usize, change: impl Fn(String) -> String) -> (Bench, Server) {
+    /// Starts a node with a scripted server, a limit on its descriptors, and the configuration that
+    /// `edit_configuration` returns.
+    pub fn with_scripted_server(
+        max_descriptors: usize,
+        edit_configuration: impl Fn(String) -> String,
+    ) -> (TestNode, ScriptedServer) {
         let server = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = server.local_addr().unwrap();
-        let bench = Bench::with(at, Arc::new(AtomicU8::new(SERVES)), channel().1, descriptors, change);
-        (bench, Server::new(server))
+        let server_address = server.local_addr().unwrap();
+        let server_mode = Arc::new(AtomicU8::new(SERVER_ANSWERS));
+        let node = TestNode::start_with(
+            server_address,
+            server_mode,
+            channel().1,
+            max_descriptors,
+            edit_configuration,
+        );
+        (node, ScriptedServer::new(server))
     }
 
-    fn with(
-        at: SocketAddr,
-        fate: Arc<AtomicU8>,
-        heard: Receiver<(TcpStream, String)>,
-        descriptors: usize,
-        change: impl Fn(String) -> String,
-    ) -> Bench {
-        let names = UdpSocket::bind("127.0.0.1:0").unwrap();
-        names.set_read_timeout(Some(WAIT)).unwrap();
-        let folder = tempfile::tempdir().unwrap();
-        let document = folder.path().join("config.json");
-        let text = NODE
+    fn start_with(
+        server_address: SocketAddr,
+        server_mode: Arc<AtomicU8>,
+        server_requests: Receiver<(TcpStream, String)>,
+        max_descriptors: usize,
+        edit_configuration: impl Fn(String) -> String,
+    ) -> TestNode {
+        let name_service = UdpSocket::bind("127.0.0.1:0").unwrap();
+        name_service.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
+        let directory = tempfile::tempdir().unwrap();
+        let configuration_path = directory.path().join("config.json");
+        let text = NODE_CONFIGURATION
             .replace("\"sockets\":256", "\"sockets\":128")
-            .replace("127.0.0.1:5061", &at.to_string())
-            .replace("127.0.0.1:1053", &names.local_addr().unwrap().to_string())
-            // The second server is told gone by the last change: one is enough here.
+            .replace("127.0.0.1:5061", &server_address.to_string())
+            .replace("127.0.0.1:1053", &name_service.local_addr().unwrap().to_string())
+            // The last change in the list removes s-00000003: under that name the second server goes, and one is left.
             .replace("\"instanceId\":\"s-00000002\",", "\"instanceId\":\"s-00000003\",");
-        std::fs::write(&document, change(text)).unwrap();
-        let (child, address, said) = spawn(&document, "127.0.0.1:0", descriptors);
-        Bench { child, address, document, names, server: at, fate, heard, said, descriptors, _folder: folder }
+        std::fs::write(&configuration_path, edit_configuration(text)).unwrap();
+        let (process, address, log_lines) = spawn_node(&configuration_path, "127.0.0.1:0", max_descriptors);
+        TestNode {
+            process,
+            address,
+            configuration_path,
+            name_service,
+            server_address,
+            server_mode,
+            server_requests,
+            log_lines,
+            max_descriptors,
+            _directory: directory,
+        }
     }
 
-    /// Kills the process, and starts another one at its address.
+    /// Kills the process and starts a new one that listens on the same address.
     pub fn restart(&mut self) {
-        self.child.kill().unwrap();
-        self.child.wait().unwrap();
-        (self.child, self.address, self.said) =
-            spawn(&self.document, &self.address.to_string(), self.descriptors);
+        self.process.kill().unwrap();
+        self.process.wait().unwrap();
+        (self.process, self.address, self.log_lines) =
+            spawn_node(&self.configuration_path, &self.address.to_string(), self.max_descriptors);
     }
 
-    /// Its server is there again.
-    pub fn revive(&mut self, server: TcpListener) {
-        self.fate.store(SERVES, Ordering::SeqCst);
-        let (to, heard) = channel();
-        self.heard = heard;
-        let met = self.fate.clone();
-        std::thread::spawn(move || serve_all(server, &to, &met));
+    /// Starts the automatic server again, on this listener.
+    pub fn restart_server(&mut self, server: TcpListener) {
+        self.server_mode.store(SERVER_ANSWERS, Ordering::SeqCst);
+        let (request_sender, server_requests) = channel();
+        self.server_requests = server_requests;
+        let mode = self.server_mode.clone();
+        std::thread::spawn(move || run_automatic_server(server, &request_sender, &mode));
     }
 
-    /// How the process ended by itself, if it did within that time.
-    pub fn ends_within(&mut self, within: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + within;
+    /// The exit status of the process, if it exits by itself within that time.
+    pub fn exit_status_within(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         loop {
-            match self.child.try_wait().unwrap() {
-                None if Instant::now() < until => std::thread::sleep(Duration::from_millis(5)),
-                ended => return ended,
+            match self.process.try_wait().unwrap() {
+                None if Instant::now() < deadline => std::thread::sleep(Duration::from_millis(5)),
+                status => return status,
             }
         }
     }
 
-    pub fn viewer(&self) -> TcpStream {
+    /// Opens a viewer connection to the node.
+    pub fn connect_viewer(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+        stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
         stream
     }
 
+    /// Sends the process a signal, named as for `kill`: `-TERM`.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
-        assert!(done.success());
+        let status = Command::new("kill").args([name, &self.process.id().to_string()]).status().unwrap();
+        assert!(status.success());
     }
 }
 
-/// A process that is up, where it listens, and lines of its log.
-fn spawn(document: &Path, listen: &str, descriptors: usize) -> (Child, SocketAddr, Receiver<String>) {
-    // As many descriptors as the configuration states, and no more.
+/// Starts a node and waits until it listens. Returns the process, its address, and the log lines that follow.
+fn spawn_node(
+    configuration_path: &Path,
+    listen: &str,
+    max_descriptors: usize,
+) -> (Child, SocketAddr, Receiver<String>) {
+    // The process gets no more descriptors than its configuration states.
     let mut child = Command::new("sh")
-        .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\" --json-log node")])
+        .args(["-c", &format!("ulimit -n {max_descriptors}; exec \"$0\" --json-log node")])
         .arg(env!("CARGO_BIN_EXE_walnutline"))
         .envs([("NODE_NAME", "n1"), ("NODE_LISTEN", listen), ("RUST_LOG", "info,may=off")])
-        .env("NODE_CONFIG", document)
+        .env("NODE_CONFIG", configuration_path)
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    // It says which port it was given.
+    // The node logs the port that the system chose.
     let address =
         log.find_map(|line| Some(line.split_once("\"listen\":\"")?.1.split('"').next()?.to_owned()));
-    let address = address.expect("a node that is up").parse().unwrap();
-    let (to_said, said) = channel();
-    // A test may end before its node.
-    std::thread::spawn(move || log.for_each(|line| drop(to_said.send(line))));
-    (child, address, said)
+    let address = address.expect("the node logs its address").parse().unwrap();
+    let (line_sender, log_lines) = channel();
+    // The receiver may be dropped first, when a test ends before its node.
+    std::thread::spawn(move || log.for_each(|line| drop(line_sender.send(line))));
+    (child, address, log_lines)
 }
 
-impl Drop for Bench {
+impl Drop for TestNode {
     fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
+        let _ = self.process.kill();
+        let _ = self.process.wait();
     }
 }
 
-fn serve_all(server: TcpListener, to: &std::sync::mpsc::Sender<(TcpStream, String)>, met: &Arc<AtomicU8>) {
-    let mut open = Vec::new();
+fn run_automatic_server(
+    server: TcpListener,
+    requests: &std::sync::mpsc::Sender<(TcpStream, String)>,
+    mode: &Arc<AtomicU8>,
+) {
+    let mut connections = Vec::new();
     for stream in server.incoming().map(Result::unwrap) {
-        match met.load(Ordering::SeqCst) {
-            DIES => break,
-            // Whoever wakes it ends the test by itself: nothing is taken in any more.
-            SILENT => loop {
+        match mode.load(Ordering::SeqCst) {
+            SERVER_STOPS => break,
+            // Accepts nothing more until the test process ends.
+            SERVER_SILENT => loop {
                 std::thread::park();
             },
             _ => {}
         }
-        let (to, met) = (to.clone(), met.clone());
-        open.push(stream.try_clone().unwrap());
-        std::thread::spawn(move || serve(stream, &to, &met));
+        let (requests, mode) = (requests.clone(), mode.clone());
+        connections.push(stream.try_clone().unwrap());
+        std::thread::spawn(move || answer_requests(stream, &requests, &mode));
     }
     drop(server);
-    open.iter().for_each(|s| drop(s.shutdown(std::net::Shutdown::Both)));
+    connections.iter().for_each(|s| drop(s.shutdown(std::net::Shutdown::Both)));
 }
 
-fn serve(mut stream: TcpStream, to: &std::sync::mpsc::Sender<(TcpStream, String)>, fate: &AtomicU8) {
-    let mut rest = String::new();
-    while let Some(message) = read_message(&mut stream, &mut rest) {
-        if fate.load(Ordering::SeqCst) == SILENT {
+fn answer_requests(
+    mut stream: TcpStream,
+    requests: &std::sync::mpsc::Sender<(TcpStream, String)>,
+    mode: &AtomicU8,
+) {
+    let mut unparsed = String::new();
+    while let Some(message) = read_message(&mut stream, &mut unparsed) {
+        if mode.load(Ordering::SeqCst) == SERVER_SILENT {
             continue;
         }
         let session = message.lines().find(|l| l.starts_with("Session")).unwrap_or("Session: ").to_owned();
@@ -179,154 +222,172 @@
         };
         let _ = stream.write_all(answer.as_bytes());
         if !message.starts_with("OPTIONS") {
-            let _ = to.send((stream.try_clone().unwrap(), message));
+            let _ = requests.send((stream.try_clone().unwrap(), message));
         }
     }
 }
 
-pub fn read_message(stream: &mut TcpStream, rest: &mut String) -> Option<String> {
+/// Reads the next whole message; bytes that follow it stay in `unparsed`. Returns none if the connection ends or the
+/// read times out.
+pub fn read_message(stream: &mut TcpStream, unparsed: &mut String) -> Option<String> {
     loop {
-        if let Some(head) = rest.find("\r\n\r\n").map(|at| at + 4) {
-            let length = rest[..head].lines().find_map(|l| l.strip_prefix("Content-Length: ")).unwrap_or("0");
-            let whole = head + length.parse::<usize>().unwrap();
-            if rest.len() >= whole {
-                let next = rest.split_off(whole);
-                return Some(std::mem::replace(rest, next));
+        if let Some(head_length) = unparsed.find("\r\n\r\n").map(|end| end + 4) {
+            let body_length = unparsed[..head_length]
+                .lines()
+                .find_map(|l| l.strip_prefix("Content-Length: "))
+                .unwrap_or("0");
+            let total_length = head_length + body_length.parse::<usize>().unwrap();
+            if unparsed.len() >= total_length {
+                let next = unparsed.split_off(total_length);
+                return Some(std::mem::replace(unparsed, next));
             }
         }
         let mut buffer = [0; 4096];
         match stream.read(&mut buffer) {
-            Ok(n) if n > 0 => rest.push_str(&String::from_utf8_lossy(&buffer[..n])),
+            Ok(n) if n > 0 => unparsed.push_str(&String::from_utf8_lossy(&buffer[..n])),
             _ => return None,
         }
     }
 }
 
-pub fn wanted(id: u64) -> String {
+/// A SETUP as a viewer sends it, for the session with this id and with a wait limit of 3 s.
+pub fn setup_request(id: u64) -> String {
     format!(
         "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: {id:016x}\r\nX-Call-Class: board-loop\r\n\
          X-Ring-Limit: 3000\r\nX-Dest: home:0;copies:1;top:4;viewer:00000000b4d65521\r\nContent-Length: 5\r\n\r\na=1\r\n"
     )
 }
 
-pub fn answer(stream: &mut TcpStream) -> String {
-    read_message(stream, &mut String::new()).expect("an answer")
+/// Reads the first message of a connection.
+pub fn receive_first(stream: &mut TcpStream) -> String {
+    read_message(stream, &mut String::new()).expect("a message")
 }
 
-/// One connection, and what was read of it beyond whole messages.
-pub struct Peer {
+/// A connection, with the bytes that were read after the last whole message.
+pub struct Connection {
     pub stream: TcpStream,
-    pub rest: String,
+    pub unparsed: String,
 }
 
-impl Peer {
-    pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+impl Connection {
+    /// Wraps a stream, and sets its read time-out to `RECEIVE_TIMEOUT`.
+    pub fn new(stream: TcpStream) -> Connection {
+        stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Peer { stream, rest: String::new() }
+        Connection { stream, unparsed: String::new() }
     }
 
-    pub fn says(&mut self, text: &str) {
+    /// Sends the text.
+    pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn hears(&mut self) -> String {
-        read_message(&mut self.stream, &mut self.rest).expect("a message")
+    /// The next message, within `RECEIVE_TIMEOUT`.
+    pub fn receive(&mut self) -> String {
+        read_message(&mut self.stream, &mut self.unparsed).expect("a message")
     }
 
     /// The next message, if one comes within that time.
-    pub fn hears_within(&mut self, within: Duration) -> Option<String> {
-        self.stream.set_read_timeout(Some(within)).unwrap();
-        let message = read_message(&mut self.stream, &mut self.rest);
-        self.stream.set_read_timeout(Some(WAIT)).unwrap();
+    pub fn receive_within(&mut self, timeout: Duration) -> Option<String> {
+        self.stream.set_read_timeout(Some(timeout)).unwrap();
+        let message = read_message(&mut self.stream, &mut self.unparsed);
+        self.stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
         message
     }
 
-    /// Ends it by a reset, whatever it still holds.
-    pub fn resets(self) {
+    /// Closes the connection with a reset, which discards what has not been sent.
+    pub fn reset(self) {
         let socket = socket2::Socket::from(self.stream);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
-/// A server in a test's hands.
-pub struct Server {
+/// A server that answers probes automatically and leaves all other requests to the test.
+pub struct ScriptedServer {
     pub listener: TcpListener,
-    open: Vec<Peer>,
-    probes: usize,
+    connections: Vec<Connection>,
+    answered_probes: usize,
 }
 
-impl Server {
-    pub fn new(listener: TcpListener) -> Server {
-        Server { listener, open: Vec::new(), probes: 0 }
+impl ScriptedServer {
+    /// A server that accepts connections on this listener while the test receives requests.
+    pub fn new(listener: TcpListener) -> ScriptedServer {
+        ScriptedServer { listener, connections: Vec::new(), answered_probes: 0 }
     }
 
-    /// Reads all connections until something is asked other than the load, which is answered. The connection,
-    /// and the message.
-    pub fn hears(&mut self) -> (Peer, String) {
-        self.hears_within(WAIT).expect("a message of the node")
+    /// Reads all connections, answers probes, and returns the first other request with its connection. The server reads
+    /// that connection again only after `add_connection`.
+    pub fn receive_request(&mut self) -> (Connection, String) {
+        self.receive_request_within(RECEIVE_TIMEOUT).expect("a request from the node")
     }
 
-    pub fn hears_within(&mut self, within: Duration) -> Option<(Peer, String)> {
-        let until = Instant::now() + within;
+    /// As `receive_request`, but returns none if no request comes within that time.
+    pub fn receive_request_within(&mut self, timeout: Duration) -> Option<(Connection, String)> {
+        let deadline = Instant::now() + timeout;
         self.listener.set_nonblocking(true).unwrap();
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).unwrap();
-                self.open.push(Peer::new(stream));
+                self.connections.push(Connection::new(stream));
             }
-            for n in 0..self.open.len() {
-                let Some(message) = self.open[n].hears_within(Duration::from_millis(2)) else { continue };
+            for index in 0..self.connections.len() {
+                let Some(message) = self.connections[index].receive_within(Duration::from_millis(2)) else {
+                    continue;
+                };
                 if message.starts_with("OPTIONS") {
-                    self.probes += 1;
+                    self.answered_probes += 1;
                     let report = "X-Circuits: inflight:1;x0:0.2";
-                    let session = session_of(&message);
+                    let session = session_header(&message);
                     let answer = format!(
                         "RTSP/1.0 200 OK\r\nCSeq: 3\r\n{session}\r\n{report}\r\nContent-Length: 0\r\n\r\n"
                     );
-                    let _ = self.open[n].stream.write_all(answer.as_bytes());
+                    let _ = self.connections[index].stream.write_all(answer.as_bytes());
                 } else if !message.starts_with("RTSP/1.0") {
-                    return Some((self.open.swap_remove(n), message));
+                    return Some((self.connections.swap_remove(index), message));
                 }
             }
         }
         None
     }
 
-    /// Whether it was asked for its load, on a connection that came up.
-    pub fn met_a_probe(&self) -> bool {
-        self.probes > 0
+    /// Whether a probe has arrived, which means that a connection has been established.
+    pub fn has_answered_probe(&self) -> bool {
+        self.answered_probes > 0
     }
 
-    /// Gives a connection back to be read with the others.
-    pub fn keeps(&mut self, peer: Peer) {
-        self.open.push(peer);
+    /// Adds a connection to those that the server reads.
+    pub fn add_connection(&mut self, connection: Connection) {
+        self.connections.push(connection);
     }
 }
 
-/// Takes the places of those that wait to be taken in by a server: what comes next gets no answer.
-pub fn fill(server: SocketAddr) -> Vec<socket2::Socket> {
-    let one = |_| {
+/// Fills the accept queue of a server that accepts nothing: further connections get no answer until the returned
+/// sockets are dropped.
+pub fn fill_accept_queue(server: SocketAddr) -> Vec<socket2::Socket> {
+    let connect = |_| {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
         let _ = socket.connect(&server.into());
         socket
     };
-    (0..300).map(one).collect()
+    (0..300).map(connect).collect()
 }
 
-pub fn session_of(message: &str) -> &str {
+/// The line of the Session header of a message, empty of an id if there is none.
+pub fn session_header(message: &str) -> &str {
     message.lines().find(|l| l.starts_with("Session")).unwrap_or("Session: ")
 }
 
-pub fn reply(status: u16, cseq: u32, id: u64, body: &str) -> String {
+/// A response of a server, for the session with this id.
+pub fn response(status: u16, cseq: u32, id: u64, body: &str) -> String {
     let length = body.len();
     format!(
         "RTSP/1.0 {status} X\r\nCSeq: {cseq}\r\nSession: {id:016x}\r\nContent-Length: {length}\r\n\r\n{body}"
     )
 }
 
-pub fn teardown(id: u64, cause: Option<u32>) -> String {
+/// A TEARDOWN of a session, with the cause of its end if one is given.
+pub fn teardown_request(id: u64, cause: Option<u32>) -> String {
     let reason = cause.map_or(String::new(), |cause| format!("Reason: cause={cause}\r\n"));
     format!("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {id:016x}\r\n{reason}Content-Length: 0\r\n\r\n")
 }
