--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! A front with a catalogue that changes while it serves: what it gains, and that the request always wins.
+//! A front whose catalogue changes while it serves requests, and the `walnutline catalogue` commands. A request's own list
+//! of holders always takes precedence over the catalogue.
 mod support;
 
 use std::process::{Command, Output};
@@ -13,311 +14,364 @@
 use walnutline_catalogue_store::write_snapshot;
 use walnutline_rehearsal::publisher::Publisher;
 
+/// A title with two rungs, at this rate and its double.
 fn title(name: &str, rate: f32, holders: &[u32]) -> Title {
     let holders = holders.iter().copied().map(ServerId).collect();
     Title { name: name.into(), rates: vec![rate, 2.0 * rate], group_mask: 3, duration_ms: 60_000, holders }
 }
 
+/// A version with these titles on four boxes, some of which are gone.
 fn version(number: u64, titles: &[Title], gone: &[u32]) -> Version {
-    let mut b = VersionBuilder::new(number, vec!["council-notice".into(), "paid".into()], None).unwrap();
-    for n in 0..4 {
-        b.add_box(BoxState { server: ServerId(n), gone: gone.contains(&n), rack: Some(RackId(n % 2)) });
+    let mut builder =
+        VersionBuilder::new(number, vec!["council-notice".into(), "paid".into()], None).unwrap();
+    for id in 0..4 {
+        builder.add_box(BoxState {
+            server: ServerId(id),
+            gone: gone.contains(&id),
+            rack: Some(RackId(id % 2)),
+        });
     }
-    titles.iter().for_each(|t| b.add_title(PackedTitle::new(t).unwrap()).unwrap());
-    b.finish()
+    titles.iter().for_each(|title| builder.add_title(PackedTitle::new(title).unwrap()).unwrap());
+    builder.finish()
 }
 
-fn rates(name: &str, rate: f32) -> Change {
+/// A change of the rates of a title to this rate and its double.
+fn set_rates(name: &str, rate: f32) -> Change {
     Change::SetRates { name: name.into(), rates: vec![rate, 2.0 * rate] }
 }
 
-struct Place {
+/// A front with its boxes, and the publisher of its catalogue.
+struct Deployment {
     log: BoxLog,
     _boxes: Vec<TestBox>,
     front: Front,
     publisher: Arc<Publisher>,
     store: tempfile::TempDir,
     document: String,
-    phone: Phone,
+    viewer: TestViewer,
 }
 
-/// A front with three boxes that play, and the catalogue of a publisher.
-fn place(v: Version) -> Place {
-    place_with(v, |document| document)
+/// Starts a front with three boxes that accept SETUPs, and a publisher of this version.
+fn start_deployment(version: Version) -> Deployment {
+    start_deployment_with(version, |document| document)
 }
 
-/// The same, with a document that differs.
-fn place_with(v: Version, differ: impl Fn(String) -> String) -> Place {
-    let log = Log::new();
-    let boxes: Vec<TestBox> = (0..3).map(|n| TestBox::start(n, Does::Plays, &log)).collect();
+/// As `start_deployment`, with the settings document that `edit_document` returns.
+fn start_deployment_with(version: Version, edit_document: impl Fn(String) -> String) -> Deployment {
+    let log = EventLog::new();
+    let boxes: Vec<TestBox> = (0..3).map(|id| TestBox::start(id, BoxBehaviour::Accept, &log)).collect();
     let all: Vec<&TestBox> = boxes.iter().collect();
-    let (publisher, source) = Publisher::start(v).unwrap();
+    let (publisher, source) = Publisher::start(version).unwrap();
     let store = tempfile::tempdir().unwrap();
-    // Sessions of these boxes never end: links must not be what a test of thousands of requests finds full.
-    let plain =
-        document(list_of(&all)).replace("link-kb=40000 uplink-kb=160000", "link-kb=4e9 uplink-kb=4e9");
-    let document = format!("{plain}catalogue folder=\"{}\" source=\"http://{source}/c\" probes-each=0.2 probes-saved=8 news-old=1000\n", store.path().display());
-    let document = differ(document);
-    let front = Front::with(&document);
-    ready(&front, &all);
-    Place { log, _boxes: boxes, front, publisher, store, document, phone: Phone::new(10) }
+    // Sessions on these boxes never end: with usual link limits, thousands of requests would fill the links.
+    let unlimited = settings_document(start_list_server(&all))
+        .replace("link-kb=40000 uplink-kb=160000", "link-kb=4e9 uplink-kb=4e9");
+    let document = format!("{unlimited}catalogue folder=\"{}\" source=\"http://{source}/c\" probes-each=0.2 probes-saved=8 news-old=1000\n", store.path().display());
+    let document = edit_document(document);
+    let front = Front::start_with(&document);
+    wait_until_in_use(&front, &all);
+    Deployment { log, _boxes: boxes, front, publisher, store, document, viewer: TestViewer::new(10) }
 }
 
-impl Place {
-    /// The lowest rate that a title's manifest tells, in kB a second: by it the front shows what it knows.
+impl Deployment {
+    /// The lowest rate in a title's manifest, in kB/s, which shows what the front knows of the title.
     fn rate(&self, name: &str) -> u64 {
-        rate(&self.front, &self.phone, name)
+        lowest_rate(&self.front, &self.viewer, name)
     }
 
-    fn until_rate(&self, name: &str, wanted: u64) {
-        until(&format!("{name} at {wanted} kB a second"), || (self.rate(name) == wanted).then_some(()));
+    fn wait_for_rate(&self, name: &str, expected: u64) {
+        wait_until(&format!("{name} at {expected} kB/s"), || (self.rate(name) == expected).then_some(()));
     }
 }
 
-fn rate(front: &Front, phone: &Phone, name: &str) -> u64 {
-    let mpd = phone.asks(front.address, name, &[0, 1]).manifest();
+/// The lowest rate in the manifest of a title, in kB/s.
+fn lowest_rate(front: &Front, viewer: &TestViewer, name: &str) -> u64 {
+    let mpd = viewer.fetch_manifest(front.address, name, &[0, 1]).manifest();
     mpd.period.adaptation_set.representations[0].bandwidth / 8_000
 }
 
+/// Runs the binary to its end.
 fn walnutline(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_walnutline")).args(args).output().unwrap()
 }
 
-fn says(output: &Output) -> String {
+/// What a command printed to standard output and standard error.
+fn printed(output: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
 #[test]
-fn true_rates_reach_the_manifest_and_change_while_it_serves() {
-    let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
-    p.until_rate("water", 111);
-    assert_eq!(p.rate("unknown"), 200, "the ladder's");
-    p.publisher.change([rates("water", 99.0), Change::PutTitle(title("snow", 120.0, &[1]))]).unwrap();
-    p.until_rate("water", 99);
-    assert_eq!(p.rate("snow"), 120, "both changes of one batch");
-    p.publisher.change([Change::RemoveTitle { name: "snow".into() }]).unwrap();
-    p.until_rate("snow", 200);
+fn manifest_follows_the_rates_of_the_catalogue() {
+    let deployment = start_deployment(version(7, &[title("water", 111.0, &[0, 1])], &[]));
+    deployment.wait_for_rate("water", 111);
+    assert_eq!(deployment.rate("unknown"), 200, "the rate of the ladder");
+    deployment
+        .publisher
+        .change([set_rates("water", 99.0), Change::PutTitle(title("snow", 120.0, &[1]))])
+        .unwrap();
+    deployment.wait_for_rate("water", 99);
+    assert_eq!(deployment.rate("snow"), 120, "both changes of one batch");
+    deployment.publisher.change([Change::RemoveTitle { name: "snow".into() }]).unwrap();
+    deployment.wait_for_rate("snow", 200);
 }
 
-/// The catalogue says boxes 0 and 1, of which 1 is gone; the request says otherwise.
+/// The catalogue has boxes 0 and 1 as holders, of which 1 is gone; the requests name other boxes.
 #[test]
-fn the_requests_own_list_wins() {
-    let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[1]));
-    p.until_rate("water", 111);
-    let phone = Phone::new(11);
-    let before = setups(&p.log).len();
+fn holders_in_the_request_override_the_catalogue() {
+    let deployment = start_deployment(version(7, &[title("water", 111.0, &[0, 1])], &[1]));
+    deployment.wait_for_rate("water", 111);
+    let viewer = TestViewer::new(11);
+    let before = setups_received(&deployment.log).len();
     for holders in [&[2u32][..], &[1], &[2, 1]] {
-        let answer = phone.asks(p.front.address, "water", holders);
-        assert!(holders.contains(&answer.server()), "{holders:?} was sent to {}", answer.server());
+        let answer = viewer.fetch_manifest(deployment.front.address, "water", holders);
+        assert!(holders.contains(&answer.box_id()), "{holders:?} was placed on {}", answer.box_id());
     }
-    let sent: Vec<u32> = setups(&p.log)[before..].iter().map(|s| s.1).collect();
-    assert!(sent.iter().all(|s| *s != 0), "a box that no request named got a SETUP: {sent:?}");
+    let sent: Vec<u32> = setups_received(&deployment.log)[before..].iter().map(|setup| setup.1).collect();
+    assert!(sent.iter().all(|id| *id != 0), "a box that no request named got a SETUP: {sent:?}");
     assert_eq!(&sent[..2], [2, 1]);
-    // A title that the catalogue does not know, and a box that it does not know.
-    assert_eq!(phone.asks(p.front.address, "other", &[2]).server(), 2);
-    let store = p.store.path().to_str().unwrap();
-    // Counts are written down now and then: the last ones are waited for.
-    until("the differences are written", || {
-        let told = says(&walnutline(&["catalogue", "diff", store]));
-        let of = |sort: &str, server: &str| {
-            let row = told.lines().find(|l| l.split_whitespace().take(2).eq([sort, server]));
-            row.and_then(|l| l.split_whitespace().last()?.parse::<u32>().ok()).unwrap_or(0)
+    // A title that is not in the catalogue, on a box that is not among its holders.
+    assert_eq!(viewer.fetch_manifest(deployment.front.address, "other", &[2]).box_id(), 2);
+    let store = deployment.store.path().to_str().unwrap();
+    // The counts are stored periodically.
+    wait_until("the differences to be stored", || {
+        let table = printed(&walnutline(&["catalogue", "diff", store]));
+        let count = |kind: &str, server: &str| {
+            let row = table.lines().find(|line| line.split_whitespace().take(2).eq([kind, server]));
+            row.and_then(|line| line.split_whitespace().last()?.parse::<u32>().ok()).unwrap_or(0)
         };
-        // Boxes 2 and 1 were named beside it: box 2 twice, 1 missing once, 0 three times and more.
-        let counts = (of("unknown-holder", "2"), of("missing-holder", "1"), of("missing-holder", "0"));
-        (counts == (2, 1, 3) && of("gone-holder", "1") >= 2 && of("unknown-title", "-") >= 1).then_some(())
+        // Requests named box 2, which the catalogue lacks, twice; they left out box 1 once and box 0 three times.
+        let counts =
+            (count("unknown-holder", "2"), count("missing-holder", "1"), count("missing-holder", "0"));
+        (counts == (2, 1, 3) && count("gone-holder", "1") >= 2 && count("unknown-title", "-") >= 1)
+            .then_some(())
     });
 }
 
-/// Requests on a few connections until told to stop; each answered once and in time. Returns how many there were.
-fn requests<T>(front: &Front, during: impl FnOnce() -> T) -> (usize, T) {
-    let (over, count) = (AtomicBool::new(false), AtomicUsize::new(0));
-    std::thread::scope(|s| {
-        for n in 0..3 {
-            let (over, count) = (&over, &count);
-            s.spawn(move || {
-                let phone = Phone::new(20 + n);
-                while !over.load(Ordering::SeqCst) {
-                    // `asks` looks for a second answer.
-                    let answer = phone.asks(front.address, "water", &[0, 1, 2]);
+/// Sends requests from three viewers while `during` runs, and checks that each is answered once and in time. Returns the
+/// number of requests and the result of `during`.
+fn with_requests<T>(front: &Front, during: impl FnOnce() -> T) -> (usize, T) {
+    let (finished, count) = (AtomicBool::new(false), AtomicUsize::new(0));
+    std::thread::scope(|scope| {
+        for index in 0..3 {
+            let (finished, count) = (&finished, &count);
+            scope.spawn(move || {
+                let viewer = TestViewer::new(20 + index);
+                while !finished.load(Ordering::SeqCst) {
+                    // `fetch_manifest` fails if a second response follows.
+                    let answer = viewer.fetch_manifest(front.address, "water", &[0, 1, 2]);
                     assert_eq!(answer.status, 200, "{answer:?}");
-                    assert!(answer.took < START_TARGET, "late by it: {:?}", answer.took);
+                    assert!(
+                        answer.duration < START_TARGET,
+                        "response after the start target: {:?}",
+                        answer.duration
+                    );
                     count.fetch_add(1, Ordering::SeqCst);
                 }
             });
         }
-        let done = std::panic::catch_unwind(std::panic::AssertUnwindSafe(during));
-        over.store(true, Ordering::SeqCst);
-        done.map(|t| (count.load(Ordering::SeqCst), t)).unwrap_or_else(|e| std::panic::resume_unwind(e))
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(during));
+        finished.store(true, Ordering::SeqCst);
+        result
+            .map(|value| (count.load(Ordering::SeqCst), value))
+            .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
     })
 }
 
 #[test]
-fn fifty_thousand_changes_at_the_height_of_a_peak() {
-    let mut titles: Vec<Title> = (0..2_000).map(|n| title(&format!("t{n}"), 50.0, &[n % 3])).collect();
+fn fifty_thousand_changes_delay_no_request() {
+    let mut titles: Vec<Title> =
+        (0..2_000).map(|number| title(&format!("t{number}"), 50.0, &[number % 3])).collect();
     titles.push(title("water", 111.0, &[0, 1]));
-    let p = place(version(0, &titles, &[]));
-    p.until_rate("water", 111);
-    let (count, ()) = requests(&p.front, || {
-        let changes = (0..50_000u32).map(|n| rates(&format!("t{}", n % 2_000), 50.0 + (n / 2_000) as f32));
-        assert_eq!(p.publisher.change(changes).unwrap(), 50_000);
-        p.publisher.change([rates("water", 99.0)]).unwrap();
-        p.until_rate("water", 99);
+    let deployment = start_deployment(version(0, &titles, &[]));
+    deployment.wait_for_rate("water", 111);
+    let (count, ()) = with_requests(&deployment.front, || {
+        let changes = (0..50_000u32)
+            .map(|number| set_rates(&format!("t{}", number % 2_000), 50.0 + (number / 2_000) as f32));
+        assert_eq!(deployment.publisher.change(changes).unwrap(), 50_000);
+        deployment.publisher.change([set_rates("water", 99.0)]).unwrap();
+        deployment.wait_for_rate("water", 99);
     });
-    assert!(count > 50, "only {count} requests meanwhile");
-    assert_eq!((p.rate("t7"), p.publisher.asked()), (74, (1, 1)), "one snapshot, one stream");
+    assert!(count > 50, "only {count} requests during the load");
+    assert_eq!(
+        (deployment.rate("t7"), deployment.publisher.asked()),
+        (74, (1, 1)),
+        "one snapshot, one stream"
+    );
 }
 
 #[test]
-fn a_large_catalogue_loads_while_requests_run() {
-    let p = place(version(1, &[title("water", 111.0, &[0, 1])], &[]));
-    p.until_rate("water", 111);
-    let mut titles: Vec<Title> = (0..60_000).map(|n| title(&format!("t{n}"), 50.0, &[n % 3])).collect();
+fn loading_a_large_catalogue_delays_no_request() {
+    let deployment = start_deployment(version(1, &[title("water", 111.0, &[0, 1])], &[]));
+    deployment.wait_for_rate("water", 111);
+    let mut titles: Vec<Title> =
+        (0..60_000).map(|number| title(&format!("t{number}"), 50.0, &[number % 3])).collect();
     titles.push(title("water", 99.0, &[0, 1]));
     let large = version(500, &titles, &[]);
-    let (count, ()) = requests(&p.front, || {
-        p.publisher.replace(large);
-        p.until_rate("water", 99);
+    let (count, ()) = with_requests(&deployment.front, || {
+        deployment.publisher.replace(large);
+        deployment.wait_for_rate("water", 99);
     });
-    assert!(count > 20, "only {count} requests meanwhile");
-    assert_eq!(p.rate("t59999"), 50);
+    assert!(count > 20, "only {count} requests during the load");
+    assert_eq!(deployment.rate("t59999"), 50);
 }
 
-/// What a stream may say that is wrong: the catalogue stays whole, and is right in the end.
-#[test_case(&[12], (1, 2); "a gap is resumed")]
-#[test_case(&[8, 8, 7], (1, 1); "repeats are passed over")]
-#[test_case(&[14, 13, 12], (1, 2); "in the wrong order")]
-#[test_case(&[9], (2, 2); "a change that does not fit: a whole catalogue is fetched")]
-fn a_wrong_stream(numbers: &[u64], asked: (usize, usize)) {
-    let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
-    p.until_rate("water", 111);
-    p.publisher.change([rates("water", 112.0)]).unwrap();
-    p.until_rate("water", 112);
-    let drop = Change::RemoveTitle { name: "unheard-of".into() };
-    let wrong = |n: &u64| NumberedChange { number: *n, change: drop.clone() };
-    p.publisher.say(numbers.iter().map(wrong).collect());
-    // Seen to be taken: by a stream opened anew, or by what follows on the same stream.
-    until("the stream is in order again", || (p.publisher.asked() == asked).then_some(()));
-    p.publisher.change([rates("water", 99.0)]).unwrap();
-    p.until_rate("water", 99);
-    assert_eq!(p.publisher.asked(), asked);
+/// The change stream sends wrong change numbers, or a change that cannot be applied: the catalogue must stay consistent
+/// and reach the published state.
+#[test_case(&[12], (1, 2); "missing changes are requested")]
+#[test_case(&[8, 8, 7], (1, 1); "repeated changes are ignored")]
+#[test_case(&[14, 13, 12], (1, 2); "wrong order")]
+#[test_case(&[9], (2, 2); "change that cannot be applied fetches a snapshot")]
+fn catalogue_recovers_from_a_faulty_stream(numbers: &[u64], expected_requests: (usize, usize)) {
+    let deployment = start_deployment(version(7, &[title("water", 111.0, &[0, 1])], &[]));
+    deployment.wait_for_rate("water", 111);
+    deployment.publisher.change([set_rates("water", 112.0)]).unwrap();
+    deployment.wait_for_rate("water", 112);
+    let removal = Change::RemoveTitle { name: "unheard-of".into() };
+    let numbered = |number: &u64| NumberedChange { number: *number, change: removal.clone() };
+    deployment.publisher.say(numbers.iter().map(numbered).collect());
+    // The front has handled them once it has reopened the stream, or applied a later change on the same one.
+    wait_until("the stream to be in order again", || {
+        (deployment.publisher.asked() == expected_requests).then_some(())
+    });
+    deployment.publisher.change([set_rates("water", 99.0)]).unwrap();
+    deployment.wait_for_rate("water", 99);
+    assert_eq!(deployment.publisher.asked(), expected_requests);
 }
 
 #[test]
-fn a_corrupted_snapshot_is_refused_and_the_old_version_stays() {
-    let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
-    p.until_rate("water", 111);
-    for at in [20, 120] {
-        p.publisher.flip(Some(at));
-        let before = p.publisher.asked().0;
-        p.publisher.replace(version(300 + at as u64, &[title("water", 99.0, &[0, 1])], &[]));
-        until("it is fetched, and again", || (p.publisher.asked().0 >= before + 2).then_some(()));
-        assert_eq!(p.rate("water"), 111, "byte {at}");
+fn corrupted_snapshot_is_rejected_and_the_old_version_stays() {
+    let deployment = start_deployment(version(7, &[title("water", 111.0, &[0, 1])], &[]));
+    deployment.wait_for_rate("water", 111);
+    for offset in [20, 120] {
+        deployment.publisher.flip(Some(offset));
+        let before = deployment.publisher.asked().0;
+        deployment.publisher.replace(version(300 + offset as u64, &[title("water", 99.0, &[0, 1])], &[]));
+        wait_until("two fetches of the snapshot", || {
+            (deployment.publisher.asked().0 >= before + 2).then_some(())
+        });
+        assert_eq!(deployment.rate("water"), 111, "byte {offset}");
     }
-    p.publisher.flip(None);
-    p.until_rate("water", 99);
+    deployment.publisher.flip(None);
+    deployment.wait_for_rate("water", 99);
 }
 
 #[test]
-fn killed_and_started_again_it_knows_what_it_knew() {
-    let p = place(version(7, &[title("water", 111.0, &[0, 1])], &[]));
-    p.until_rate("water", 111);
-    p.publisher.change([rates("water", 99.0)]).unwrap();
-    p.until_rate("water", 99);
-    let Place { front, store, document, _boxes, .. } = p;
+fn restarted_front_uses_the_stored_catalogue() {
+    let deployment = start_deployment(version(7, &[title("water", 111.0, &[0, 1])], &[]));
+    deployment.wait_for_rate("water", 111);
+    deployment.publisher.change([set_rates("water", 99.0)]).unwrap();
+    deployment.wait_for_rate("water", 99);
+    let Deployment { front, store, document, _boxes, .. } = deployment;
     drop(front);
-    // Its publisher is away now.
+    // From here on the publisher is unreachable.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (from, to) = (document.find("source=").unwrap(), document.find("/c\"").unwrap());
-    let document = format!("{}source=\"http://{closed}{}", &document[..from], &document[to..]);
-    let again = Front::with(&document);
-    let phone = Phone::new(9);
-    let serves = |front: &Front| {
-        until("a box is in use", || (phone.asks(front.address, "water", &[0]).status == 200).then_some(()))
+    let (start, end) = (document.find("source=").unwrap(), document.find("/c\"").unwrap());
+    let document = format!("{}source=\"http://{closed}{}", &document[..start], &document[end..]);
+    let restarted = Front::start_with(&document);
+    let viewer = TestViewer::new(9);
+    let wait_until_serving = |front: &Front| {
+        wait_until("a box to be in use", || {
+            (viewer.fetch_manifest(front.address, "water", &[0]).status == 200).then_some(())
+        })
     };
-    serves(&again);
-    until("the stored catalogue is read", || (rate(&again, &phone, "water") == 99).then_some(()));
-    drop(again);
-    // A store that cannot be read: it serves without.
+    wait_until_serving(&restarted);
+    wait_until("the stored catalogue to be read", || {
+        (lowest_rate(&restarted, &viewer, "water") == 99).then_some(())
+    });
+    drop(restarted);
+    // The store can't be read: the front serves without a catalogue.
     std::fs::write(store.path().join("changes.redb"), b"no database").unwrap();
-    let without = Front::with(&document);
-    serves(&without);
-    assert_eq!(rate(&without, &phone, "water"), 200, "the ladder's");
+    let without_catalogue = Front::start_with(&document);
+    wait_until_serving(&without_catalogue);
+    assert_eq!(lowest_rate(&without_catalogue, &viewer, "water"), 200, "the rate of the ladder");
 }
 
-/// News of the boxes that hold what is in demand is asked for before the next request, where a price is stated. Boxes
-/// report with no probe of the decisions' own here, and all requests name box 0 alone: box 2 is asked for its news or
-/// not at all.
-#[test_case("0.2", true; "at a price")]
-#[test_case("0", false; "without one nobody is asked")]
-fn holders_of_what_is_in_demand_are_asked_ahead(price: &str, asked: bool) {
-    let p = place_with(version(7, &[title("water", 111.0, &[0, 1, 2])], &[]), |document| {
-        let none = document.replace("via=\"probe\"", "via=\"none\"");
-        none.replace("probes-each=0.2", &format!("probes-each={price}"))
-    });
-    p.until_rate("water", 111);
-    let probes =
-        |of: u32| p.log.all().iter().filter(|(_, (id, saw))| *id == of && *saw == Saw::Probe).count();
-    let (phone, before) = (Phone::new(12), probes(2));
-    let ask = || assert_eq!(phone.asks(p.front.address, "water", &[0]).server(), 0);
-    if asked {
-        until("box 2 is asked", || {
-            ask();
+/// With a value for `probes-each`, the holders of titles in demand are probed ahead of the next request. The decisions send
+/// no probes of their own here, and all requests name box 0 alone, so that a probe of box 2 can only be one sent ahead.
+#[test_case("0.2", true; "with a probe cost")]
+#[test_case("0", false; "without a probe cost")]
+fn holders_of_titles_in_demand_are_probed_ahead(probe_cost: &str, expects_probe: bool) {
+    let deployment =
+        start_deployment_with(version(7, &[title("water", 111.0, &[0, 1, 2])], &[]), |document| {
+            let without_probes = document.replace("via=\"probe\"", "via=\"none\"");
+            without_probes.replace("probes-each=0.2", &format!("probes-each={probe_cost}"))
+        });
+    deployment.wait_for_rate("water", 111);
+    let probes = |of: u32| {
+        deployment
+            .log
+            .events()
+            .iter()
+            .filter(|(_, (id, event))| *id == of && *event == BoxEvent::ProbeReceived)
+            .count()
+    };
+    let (viewer, before) = (TestViewer::new(12), probes(2));
+    let send_request =
+        || assert_eq!(viewer.fetch_manifest(deployment.front.address, "water", &[0]).box_id(), 0);
+    if expects_probe {
+        wait_until("a probe of box 2", || {
+            send_request();
             (probes(2) > before).then_some(())
         });
     } else {
-        // Ten times what the price above needs for a probe.
-        (0..50).for_each(|_| ask());
+        // Ten times as many requests as lead to a probe in the case above.
+        (0..50).for_each(|_| send_request());
         assert_eq!(probes(2), before);
     }
 }
 
 #[test]
-fn commands_on_a_store() {
-    let folder = tempfile::tempdir().unwrap();
-    let (store, file) = (folder.path().join("store"), folder.path().join("c.kdl"));
+fn catalogue_commands_report_what_is_stored() {
+    let directory = tempfile::tempdir().unwrap();
+    let (store, file) = (directory.path().join("store"), directory.path().join("c.kdl"));
     let (store, path) = (store.to_str().unwrap(), file.to_str().unwrap());
-    let good = "number 12\ngroups \"council\"\nbox 1 rack=0\nbox 2 rack=1 gone=true\n\
+    let catalogue = "number 12\ngroups \"council\"\nbox 1 rack=0\nbox 2 rack=1 gone=true\n\
         title \"water\" length=60000 {\n    rates 180 360\n    groups \"council\"\n    holders 1 2\n}\n\
         title \"snow\" length=1000 {\n    rates 100 200\n    groups \"council\"\n    holders 2\n}\n";
     let run = |args: &[&str]| {
         let output = walnutline(&[&["catalogue"], args].concat());
-        (output.status.success(), says(&output))
+        (output.status.success(), printed(&output))
     };
-    let no = run(&["show", folder.path().to_str().unwrap(), "water"]);
-    assert!(!no.0 && no.1.contains("no catalogue is stored"), "{no:?}");
-    std::fs::write(&file, good.replace("180 360", "360 180")).unwrap();
-    let bad = run(&["load", store, path]);
-    assert!(!bad.0 && bad.1.contains("c.kdl:5:7: title \"water\": rates"), "{bad:?}");
-    std::fs::write(&file, good).unwrap();
-    let contains = |args: &[&str], wanted: &[&str]| {
-        let (good, told) = run(args);
-        assert!(good && wanted.iter().all(|w| told.contains(w)), "{args:?}: {told}");
+    let missing = run(&["show", directory.path().to_str().unwrap(), "water"]);
+    assert!(!missing.0 && missing.1.contains("no catalogue is stored"), "{missing:?}");
+    std::fs::write(&file, catalogue.replace("180 360", "360 180")).unwrap();
+    let invalid = run(&["load", store, path]);
+    assert!(!invalid.0 && invalid.1.contains("c.kdl:5:7: title \"water\": rates"), "{invalid:?}");
+    std::fs::write(&file, catalogue).unwrap();
+    let assert_prints = |args: &[&str], expected: &[&str]| {
+        let (succeeded, text) = run(args);
+        assert!(succeeded && expected.iter().all(|part| text.contains(part)), "{args:?}: {text}");
     };
-    contains(&["load", store, path], &["2 titles in 2 boxes, as of change 12"]);
-    contains(&["show", store, "water"], &["water  kB/s 180 360  groups council  60 s  boxes 1 2 (gone)"]);
-    contains(&["show", store, "s", "--prefix"], &["snow  kB/s"]);
-    let near = run(&["show", store, "snew"]);
-    assert!(!near.0 && near.1.contains("\"snew\" is not known; near it: snow"), "{near:?}");
-    contains(&["where", store, "1"], &["box 1  rack 0  sound  holds 1 titles, 1 of them nowhere else sound"]);
-    contains(
+    assert_prints(&["load", store, path], &["2 titles in 2 boxes, as of change 12"]);
+    assert_prints(
+        &["show", store, "water"],
+        &["water  kB/s 180 360  groups council  60 s  boxes 1 2 (gone)"],
+    );
+    assert_prints(&["show", store, "s", "--prefix"], &["snow  kB/s"]);
+    let unknown = run(&["show", store, "snew"]);
+    assert!(!unknown.0 && unknown.1.contains("\"snew\" is not known; near it: snow"), "{unknown:?}");
+    assert_prints(
+        &["where", store, "1"],
+        &["box 1  rack 0  sound  holds 1 titles, 1 of them nowhere else sound"],
+    );
+    assert_prints(
         &["thin", store],
         &["1 without a sound holder, 1 with one", "rack 0: 1 boxes, 1 titles; 1 out of reach"],
     );
-    contains(
+    assert_prints(
         &["verify", store],
         &["snapshot-12.wcat: sound, 2 titles", "stored: 2 titles, change 12, 0 since"],
     );
-    contains(&["compact", store], &["2 titles, change 12, in one snapshot"]);
-    // A snapshot of another store, and one with a byte flipped.
+    assert_prints(&["compact", store], &["2 titles, change 12, in one snapshot"]);
+    // A snapshot of another store loads; with a corrupted byte, `verify` reports its checksum.
     let other = tempfile::tempdir().unwrap();
     let snapshot =
         write_snapshot(other.path(), &version(40, &[title("ice", 5.0, &[3])], &[]), &mut |_, _| {}).unwrap();
-    contains(&["load", store, snapshot.to_str().unwrap()], &["1 titles in 4 boxes, as of change 40"]);
-    let at = std::path::Path::new(store).join("snapshot-40.wcat");
-    let mut bytes = std::fs::read(&at).unwrap();
+    assert_prints(&["load", store, snapshot.to_str().unwrap()], &["1 titles in 4 boxes, as of change 40"]);
+    let path = std::path::Path::new(store).join("snapshot-40.wcat");
+    let mut bytes = std::fs::read(&path).unwrap();
     bytes[50] ^= 1;
-    std::fs::write(&at, bytes).unwrap();
-    let bad = run(&["verify", store]);
-    assert!(!bad.0 && bad.1.contains("snapshot-40.wcat: snapshot: byte 36: checksum"), "{bad:?}");
+    std::fs::write(&path, bytes).unwrap();
+    let invalid = run(&["verify", store]);
+    assert!(!invalid.0 && invalid.1.contains("snapshot-40.wcat: snapshot: byte 36: checksum"), "{invalid:?}");
 }
--- a/crates/cli/tests/path.rs
+++ b/crates/cli/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole way of a request over real sockets: phone, front, box and back, with each trouble forced.
+//! Requests from viewer to front to box and back over real sockets, with each kind of failure forced.
 mod support;
 
 use std::io::{Read, Write};
@@ -8,353 +8,419 @@
 use test_case::test_case;
 use walnutline_dash::token;
 
-struct Place {
+/// A front with the boxes it places sessions on.
+struct Deployment {
     log: BoxLog,
     boxes: Vec<TestBox>,
     front: Front,
 }
 
-/// A front with boxes that all play, each known to be in use; then they are told what to do.
-fn place(does: &[Does]) -> Place {
-    let log = Log::new();
-    let boxes: Vec<TestBox> = (0..does.len()).map(|n| TestBox::start(n as u32, Does::Plays, &log)).collect();
+/// Starts a front and one box for each behaviour. The boxes accept SETUPs until all of them are in use, and get their
+/// behaviour then.
+fn start_deployment(behaviours: &[BoxBehaviour]) -> Deployment {
+    let log = EventLog::new();
+    let boxes: Vec<TestBox> =
+        (0..behaviours.len()).map(|id| TestBox::start(id as u32, BoxBehaviour::Accept, &log)).collect();
     let all: Vec<&TestBox> = boxes.iter().collect();
-    let front = Front::start(list_of(&all));
-    ready(&front, &all);
-    for (b, does) in boxes.iter().zip(does) {
-        b.does(*does);
+    let front = Front::start(start_list_server(&all));
+    wait_until_in_use(&front, &all);
+    for (test_box, behaviour) in boxes.iter().zip(behaviours) {
+        test_box.set_behaviour(*behaviour);
     }
-    Place { log, boxes, front }
+    Deployment { log, boxes, front }
 }
 
-impl Place {
-    /// SETUPs since the boxes were told what to do: those of a title's one session.
+impl Deployment {
+    /// The SETUPs of one session, with the id of the box that received each.
     fn setups_of(&self, session: u64) -> Vec<(Instant, u32)> {
-        setups(&self.log).into_iter().filter(|(.., s)| *s == session).map(|(at, id, _)| (at, id)).collect()
+        setups_received(&self.log)
+            .into_iter()
+            .filter(|(.., of)| *of == session)
+            .map(|(received_at, id, _)| (received_at, id))
+            .collect()
     }
 
     fn last_session(&self) -> u64 {
-        setups(&self.log).last().unwrap().2
+        setups_received(&self.log).last().unwrap().2
     }
 
     fn holders(&self) -> Vec<u32> {
-        self.boxes.iter().map(|b| b.id).collect()
+        self.boxes.iter().map(|test_box| test_box.id).collect()
     }
 }
 
 #[test]
-fn a_request_plays_at_a_box_that_holds_it() {
-    let p = place(&[Does::Plays, Does::Plays]);
-    let answer = Phone::new(10).asks(p.front.address, "water", &[1]);
-    let mpd = answer.manifest();
-    assert_eq!(answer.server(), 1, "the request's own list");
+fn request_is_placed_on_a_box_that_holds_the_title() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept, BoxBehaviour::Accept]);
+    let response = TestViewer::new(10).fetch_manifest(deployment.front.address, "water", &[1]);
+    let mpd = response.manifest();
+    assert_eq!(response.box_id(), 1, "the only holder in the request");
     assert_eq!(mpd.presentation_type, "dynamic");
-    let rungs: Vec<&str> = mpd.period.adaptation_set.representations.iter().map(|r| r.id.as_str()).collect();
+    let rungs: Vec<&str> = mpd
+        .period
+        .adaptation_set
+        .representations
+        .iter()
+        .map(|representation| representation.id.as_str())
+        .collect();
     assert_eq!(rungs, ["0", "1"]);
-    // The token in the manifest is the one that the box was given, and is good for it alone.
-    let session = p.last_session();
-    let (_, (_, saw)) =
-        p.log.wait("its SETUP", |(_, s)| matches!(s, Saw::Setup { session: s, .. } if *s == session));
-    let Saw::Setup { token, .. } = saw else { panic!() };
+    // The manifest holds the token that the box received, which is valid for that box alone.
+    let session = deployment.last_session();
+    let (_, (_, event)) = deployment.log.wait_for(
+        "the SETUP of the session",
+        |(_, event)| matches!(event, BoxEvent::SetupReceived { session: of, .. } if *of == session),
+    );
+    let BoxEvent::SetupReceived { token, .. } = event else { panic!() };
     assert!(mpd.base_url.contains(&token));
     let key = walnutline_dash::SigningKey::from_bytes(&[2; 32]).verifying_key();
     let claims = token::verify_session(&token, |_| Ok(key)).unwrap();
     assert_eq!((claims.session, claims.server), (session, 1));
-    // Its location gives the manifest anew; with another session's token it does not.
+    // The manifest's location serves the manifest again, but not for another session with the same token.
     let path = mpd.location.split_once("/s/").unwrap().1;
-    let renewed = ask(p.front.address, &format!("GET /s/{path} HTTP/1.1\r\nHost: f\r\n\r\n"));
+    let renewed =
+        send_request(deployment.front.address, &format!("GET /s/{path} HTTP/1.1\r\nHost: f\r\n\r\n"));
     assert_eq!(renewed.manifest().base_url, mpd.base_url);
     let other = path.replacen(&session.to_string(), "1", 1);
-    assert_eq!(ask(p.front.address, &format!("GET /s/{other} HTTP/1.1\r\nHost: f\r\n\r\n")).status, 403);
+    assert_eq!(
+        send_request(deployment.front.address, &format!("GET /s/{other} HTTP/1.1\r\nHost: f\r\n\r\n")).status,
+        403
+    );
 }
 
 #[test]
-fn a_token_replayed_from_a_second_phone_opens_nothing() {
-    let p = place(&[Does::Plays]);
-    let list = list_of(&[&p.boxes[0]]);
+fn token_replayed_by_another_viewer_is_refused() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept]);
+    let list = start_list_server(&[&deployment.boxes[0]]);
     let second = Front::start(list);
-    ready(&second, &[&p.boxes[0]]);
-    let (phone, thief) = (Phone::new(10), Phone::new(11));
-    let token = phone.token("water", &[0]);
-    let proof = phone.proof(p.front.address, "water", &token);
-    assert_eq!(ask(p.front.address, &request("water", &token, &proof)).status, 200);
-    let before = setups(&p.log).len();
-    let refused = |front: SocketAddr, proof: &str, status: u16, reason: &str| {
-        let answer = ask(front, &request("water", &token, proof));
-        assert_eq!((answer.status, answer.body.trim()), (status, reason));
+    wait_until_in_use(&second, &[&deployment.boxes[0]]);
+    let (viewer, attacker) = (TestViewer::new(10), TestViewer::new(11));
+    let token = viewer.token("water", &[0]);
+    let proof = viewer.proof(deployment.front.address, "water", &token);
+    assert_eq!(
+        send_request(deployment.front.address, &manifest_request("water", &token, &proof)).status,
+        200
+    );
+    let before = setups_received(&deployment.log).len();
+    let assert_refused = |front: SocketAddr, proof: &str, status: u16, reason: &str| {
+        let response = send_request(front, &manifest_request("water", &token, proof));
+        assert_eq!((response.status, response.body.trim()), (status, reason));
     };
-    // With the copied proof, at the same front and at another; with a proof of its own, at both.
-    refused(p.front.address, &proof, 403, "proof-used");
-    refused(second.address, &proof, 401, "proof-for-other-request");
-    refused(p.front.address, &thief.proof(p.front.address, "water", &token), 403, "proof-of-other-key");
-    refused(second.address, &thief.proof(second.address, "water", &token), 403, "proof-of-other-key");
-    assert_eq!(setups(&p.log).len(), before, "a SETUP was sent");
-    // The phone itself may come again, at either.
-    for front in [p.front.address, second.address] {
-        assert_eq!(ask(front, &request("water", &token, &phone.proof(front, "water", &token))).status, 200);
+    // With the copied proof and with a proof by its own key, each at the same front and at another one.
+    assert_refused(deployment.front.address, &proof, 403, "proof-used");
+    assert_refused(second.address, &proof, 401, "proof-for-other-request");
+    assert_refused(
+        deployment.front.address,
+        &attacker.proof(deployment.front.address, "water", &token),
+        403,
+        "proof-of-other-key",
+    );
+    assert_refused(
+        second.address,
+        &attacker.proof(second.address, "water", &token),
+        403,
+        "proof-of-other-key",
+    );
+    assert_eq!(setups_received(&deployment.log).len(), before, "a SETUP was sent");
+    // The rightful viewer is served again, at both fronts.
+    for front in [deployment.front.address, second.address] {
+        assert_eq!(
+            send_request(front, &manifest_request("water", &token, &viewer.proof(front, "water", &token)))
+                .status,
+            200
+        );
     }
 }
 
 #[test]
-fn a_token_that_gives_no_leave_is_refused_with_its_reason() {
-    let p = place(&[Does::Plays]);
-    let (phone, front) = (Phone::new(10), p.front.address);
-    let before = setups(&p.log).len();
-    let good = phone.claims("water", &[0]);
+fn token_that_does_not_authorize_is_refused_with_the_reason() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept]);
+    let (viewer, front) = (TestViewer::new(10), deployment.front.address);
+    let before = setups_received(&deployment.log).len();
+    let valid_claims = viewer.claims("water", &[0]);
     let changed = |change: fn(&mut walnutline_gate::claims::ViewerClaims)| {
-        let mut c = good.clone();
-        change(&mut c);
-        mint(&c)
+        let mut claims = valid_claims.clone();
+        change(&mut claims);
+        mint_token(&claims)
     };
     let cases = [
-        (changed(|c| c.expires_at -= 3_600_000.0), 401, "expired"),
-        (changed(|c| c.manifest_path = "/m/other.mpd".into()), 403, "other-title"),
-        (changed(|c| c.service_group = "nobody".into()), 403, "unknown-group"),
-        (changed(|c| c.holders.clear()), 403, "no-holders"),
-        (token::mint(&good, b"k9", &issuer()), 401, "unknown-key"),
-        (token::mint(&good, b"k1", &phone.key), 401, "bad-signature"),
+        (changed(|claims| claims.expires_at -= 3_600_000.0), 401, "expired"),
+        (changed(|claims| claims.manifest_path = "/m/other.mpd".into()), 403, "other-title"),
+        (changed(|claims| claims.service_group = "nobody".into()), 403, "unknown-group"),
+        (changed(|claims| claims.holders.clear()), 403, "no-holders"),
+        (token::mint(&valid_claims, b"k9", &issuer_key()), 401, "unknown-key"),
+        (token::mint(&valid_claims, b"k1", &viewer.key), 401, "bad-signature"),
         ("A".repeat(2_049), 401, "token-too-long"),
         ("not a token".into(), 401, "token-malformed"),
     ];
-    for (check_token, status, reason) in cases {
-        let answer = ask(front, &request("water", &check_token, &phone.proof(front, "water", &check_token)));
-        assert_eq!((answer.status, answer.body.trim()), (status, reason));
+    for (token, status, reason) in cases {
+        let response =
+            send_request(front, &manifest_request("water", &token, &viewer.proof(front, "water", &token)));
+        assert_eq!((response.status, response.body.trim()), (status, reason));
     }
-    let none = ask(front, "GET /m/water.mpd HTTP/1.1\r\nHost: f\r\n\r\n");
-    assert_eq!((none.status, none.body.trim()), (401, "no-token"));
-    assert!(none.head.contains("WWW-Authenticate: DPoP"));
-    assert_eq!(setups(&p.log).len(), before, "a SETUP was sent");
+    let without_token = send_request(front, "GET /m/water.mpd HTTP/1.1\r\nHost: f\r\n\r\n");
+    assert_eq!((without_token.status, without_token.body.trim()), (401, "no-token"));
+    assert!(without_token.head.contains("WWW-Authenticate: DPoP"));
+    assert_eq!(setups_received(&deployment.log).len(), before, "a SETUP was sent");
 }
 
-/// What befalls the first box that is asked; the others play.
-#[test_case(Does::Busy)]
-#[test_case(Does::Errs)]
-#[test_case(Does::Resets)]
-#[test_case(Does::Dies)]
-#[test_case(Does::Never)]
-#[test_case(Does::Late(600))]
-fn another_box_plays_what_the_first_does_not(does: Does) {
-    // One box only does so; asked alone among three, it is met sooner or later by chance.
-    let p = place(&[does, Does::Plays, Does::Plays]);
-    let phone = Phone::new(10);
-    let met = until("the box is asked first", || {
-        let answer = phone.asks(p.front.address, "water", &p.holders());
-        assert!(answer.took < PATIENCE, "{answer:?}");
-        assert_eq!(answer.status, 200, "{answer:?}");
-        assert_ne!(answer.server(), 0);
-        let session = p.last_session();
-        let of = p.setups_of(session);
-        assert!(of.len() <= 3);
-        (of[0].1 == 0).then_some(session)
+/// The first box that gets the SETUP fails in one of these ways, and the others accept it.
+#[test_case(BoxBehaviour::Busy)]
+#[test_case(BoxBehaviour::Error)]
+#[test_case(BoxBehaviour::CloseWithoutAnswer)]
+#[test_case(BoxBehaviour::StopListening)]
+#[test_case(BoxBehaviour::NoAnswer)]
+#[test_case(BoxBehaviour::AcceptAfterMs(600))]
+fn setup_is_retried_on_another_box(behaviour: BoxBehaviour) {
+    // One box of three fails, so that requests are repeated until that box is chosen first.
+    let deployment = start_deployment(&[behaviour, BoxBehaviour::Accept, BoxBehaviour::Accept]);
+    let viewer = TestViewer::new(10);
+    let session = wait_until("the failing box to be chosen first", || {
+        let response = viewer.fetch_manifest(deployment.front.address, "water", &deployment.holders());
+        assert!(response.duration < SETUP_TIMEOUT, "{response:?}");
+        assert_eq!(response.status, 200, "{response:?}");
+        assert_ne!(response.box_id(), 0);
+        let session = deployment.last_session();
+        let setups = deployment.setups_of(session);
+        assert!(setups.len() <= 3);
+        (setups[0].1 == 0).then_some(session)
     });
-    let of = p.setups_of(met);
-    assert_eq!(of.len(), 2, "one SETUP more, and no third");
-    if matches!(does, Does::Late(_)) {
-        // The answer that came too late is torn down, and the session plays where the viewer was sent.
-        let name = format!("s{met}");
-        p.log.wait("the late session's end", |(id, s)| {
-            *id == 0 && matches!(s, Saw::Teardown { session } if *session == name)
+    let setups = deployment.setups_of(session);
+    assert_eq!(setups.len(), 2, "exactly one retry");
+    if matches!(behaviour, BoxBehaviour::AcceptAfterMs(_)) {
+        // The session whose answer came too late is torn down; the viewer plays from the other box.
+        let name = format!("s{session}");
+        deployment.log.wait_for("the teardown of the late session", |(id, event)| {
+            *id == 0 && matches!(event, BoxEvent::TeardownReceived { session } if *session == name)
         });
     }
 }
 
-#[test_case(Does::Never, &[503, 504]; "every box hangs")]
-#[test_case(Does::Busy, &[503]; "every box is busy")]
-#[test_case(Does::Errs, &[503, 504]; "every box errs")]
-#[test_case(Does::Resets, &[503, 504]; "every box resets")]
-fn one_answer_in_time_and_at_most_three_setups(does: Does, wanted: &[u16]) {
-    let p = place(&[does; 4]);
-    let answer = Phone::new(10).asks(p.front.address, "water", &p.holders());
-    assert!(wanted.contains(&answer.status), "{answer:?}");
-    assert!(answer.took < PATIENCE, "{:?}", answer.took);
-    let of = p.setups_of(p.last_session());
-    assert!((1..=3).contains(&of.len()), "{of:?}");
-    if answer.status == 503 {
-        assert!(answer.head.contains("Retry-After: "), "{}", answer.head);
+#[test_case(BoxBehaviour::NoAnswer, &[503, 504]; "no box answers")]
+#[test_case(BoxBehaviour::Busy, &[503]; "every box is busy")]
+#[test_case(BoxBehaviour::Error, &[503, 504]; "every box answers with an error")]
+#[test_case(BoxBehaviour::CloseWithoutAnswer, &[503, 504]; "every box closes the connection")]
+fn failing_boxes_give_one_answer_in_time_after_at_most_three_setups(
+    behaviour: BoxBehaviour,
+    expected: &[u16],
+) {
+    let deployment = start_deployment(&[behaviour; 4]);
+    let response =
+        TestViewer::new(10).fetch_manifest(deployment.front.address, "water", &deployment.holders());
+    assert!(expected.contains(&response.status), "{response:?}");
+    assert!(response.duration < SETUP_TIMEOUT, "{:?}", response.duration);
+    let setups = deployment.setups_of(deployment.last_session());
+    assert!((1..=3).contains(&setups.len()), "{setups:?}");
+    if response.status == 503 {
+        assert!(response.head.contains("Retry-After: "), "{}", response.head);
     }
-    if does == Does::Never {
-        // Each was given its time before the next: they were never out together.
-        assert!(of.windows(2).all(|w| w[1].0 - w[0].0 > Duration::from_millis(90)), "{of:?}");
+    if behaviour == BoxBehaviour::NoAnswer {
+        // Each SETUP timed out before the next was sent: they were never open at the same time.
+        assert!(
+            setups.windows(2).all(|pair| pair[1].0 - pair[0].0 > Duration::from_millis(90)),
+            "{setups:?}"
+        );
     }
 }
 
 #[test]
-fn a_paid_session_is_not_set_up_again_once_it_may_have_run() {
-    let p = place(&[Does::Resets; 3]);
-    let phone = Phone::new(10);
-    let mut claims = phone.claims("film", &p.holders());
+fn setup_of_a_group_without_repeats_is_not_retried_once_it_may_have_succeeded() {
+    let deployment = start_deployment(&[BoxBehaviour::CloseWithoutAnswer; 3]);
+    let viewer = TestViewer::new(10);
+    let mut claims = viewer.claims("film", &deployment.holders());
     claims.service_group = "paid".into();
-    let token = mint(&claims);
-    let proof = phone.proof(p.front.address, "film", &token);
-    let answer = ask(p.front.address, &request("film", &token, &proof));
-    assert_eq!(answer.status, 504, "torn down, not busy: {answer:?}");
-    assert_eq!(p.setups_of(p.last_session()).len(), 1);
+    let token = mint_token(&claims);
+    let proof = viewer.proof(deployment.front.address, "film", &token);
+    let response = send_request(deployment.front.address, &manifest_request("film", &token, &proof));
+    assert_eq!(response.status, 504, "504, not 503: {response:?}");
+    assert_eq!(deployment.setups_of(deployment.last_session()).len(), 1);
 }
 
 #[test]
-fn nobody_holds_it_or_the_list_is_away() {
-    let p = place(&[Does::Plays]);
-    let before = setups(&p.log).len();
-    let answer = Phone::new(10).asks(p.front.address, "water", &[40, 41]);
-    assert_eq!(answer.status, 503);
-    assert!(answer.took < START_TARGET);
-    assert_eq!(setups(&p.log).len(), before);
-    // A port that nobody listens on any more.
-    let nowhere = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let alone = Front::start(nowhere);
-    let answer = Phone::new(10).asks(alone.address, "water", &[0]);
-    assert_eq!(answer.status, 503);
-    assert!(answer.took < PATIENCE);
+fn request_without_a_known_holder_or_a_box_list_is_refused() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept]);
+    let before = setups_received(&deployment.log).len();
+    let response = TestViewer::new(10).fetch_manifest(deployment.front.address, "water", &[40, 41]);
+    assert_eq!(response.status, 503);
+    assert!(response.duration < START_TARGET);
+    assert_eq!(setups_received(&deployment.log).len(), before);
+    // An address at which nothing listens.
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let front_without_list = Front::start(unused_address);
+    let response = TestViewer::new(10).fetch_manifest(front_without_list.address, "water", &[0]);
+    assert_eq!(response.status, 503);
+    assert!(response.duration < SETUP_TIMEOUT);
 }
 
 #[test]
-fn a_box_that_resets_after_its_answer_ends_the_session() {
-    let p = place(&[Does::PlaysAndResets]);
-    let answer = Phone::new(10).asks(p.front.address, "water", &[0]);
-    let mpd = answer.manifest();
+fn session_ends_when_its_box_closes_the_connection() {
+    let deployment = start_deployment(&[BoxBehaviour::AcceptThenClose]);
+    let response = TestViewer::new(10).fetch_manifest(deployment.front.address, "water", &[0]);
+    let mpd = response.manifest();
     let path = mpd.location.split_once("/s/").unwrap().1.to_owned();
     let text = format!("GET /s/{path} HTTP/1.1\r\nHost: f\r\n\r\n");
-    until("the session is over", || (ask(p.front.address, &text).status == 410).then_some(()));
+    wait_until("the session to end", || {
+        (send_request(deployment.front.address, &text).status == 410).then_some(())
+    });
 }
 
 #[test]
-fn a_viewer_who_leaves_has_its_late_session_torn_down() {
-    let p = place(&[Does::Late(300)]);
-    let mut stream = connect(p.front.address);
-    let before = setups(&p.log).len();
-    stream.write_all(Phone::new(10).request(p.front.address, "water", &[0]).as_bytes()).unwrap();
-    until("its SETUP", || (setups(&p.log).len() > before).then_some(()));
+fn late_session_of_a_disconnected_viewer_is_torn_down() {
+    let deployment = start_deployment(&[BoxBehaviour::AcceptAfterMs(300)]);
+    let mut stream = connect(deployment.front.address);
+    let before = setups_received(&deployment.log).len();
+    stream
+        .write_all(TestViewer::new(10).manifest_request(deployment.front.address, "water", &[0]).as_bytes())
+        .unwrap();
+    wait_until("the SETUP", || (setups_received(&deployment.log).len() > before).then_some(()));
     drop(stream);
-    let name = format!("s{}", p.last_session());
-    p.log.wait("its end", |(_, s)| matches!(s, Saw::Teardown { session } if *session == name));
+    let name = format!("s{}", deployment.last_session());
+    deployment.log.wait_for(
+        "the teardown",
+        |(_, event)| matches!(event, BoxEvent::TeardownReceived { session } if *session == name),
+    );
 }
 
 #[test]
 fn half_closed_and_pipelined_requests_are_answered_once_and_in_order() {
-    let p = place(&[Does::Late(100)]);
-    let phone = Phone::new(10);
-    let mut stream = connect(p.front.address);
-    stream.write_all(phone.request(p.front.address, "water", &[0]).as_bytes()).unwrap();
+    let deployment = start_deployment(&[BoxBehaviour::AcceptAfterMs(100)]);
+    let viewer = TestViewer::new(10);
+    let mut stream = connect(deployment.front.address);
+    stream.write_all(viewer.manifest_request(deployment.front.address, "water", &[0]).as_bytes()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    let mut all = String::new();
-    stream.read_to_string(&mut all).unwrap();
-    assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "{all}");
-    assert!(all.starts_with("HTTP/1.1 503"), "who sends no more is taken to have left: {all}");
+    let mut received = String::new();
+    stream.read_to_string(&mut received).unwrap();
+    assert_eq!(received.matches("HTTP/1.1 ").count(), 1, "{received}");
+    assert!(received.starts_with("HTTP/1.1 503"), "a half-closed viewer counts as gone: {received}");
 
-    p.boxes[0].does(Does::Plays);
-    let mut stream = connect(p.front.address);
-    let three = ["a", "b", "c"].map(|t| phone.request(p.front.address, t, &[0])).concat();
-    stream.write_all(three.as_bytes()).unwrap();
-    let mut rest = Vec::new();
+    deployment.boxes[0].set_behaviour(BoxBehaviour::Accept);
+    let mut stream = connect(deployment.front.address);
+    let pipelined =
+        ["a", "b", "c"].map(|title| viewer.manifest_request(deployment.front.address, title, &[0])).concat();
+    stream.write_all(pipelined.as_bytes()).unwrap();
+    let mut unparsed = Vec::new();
     for title in ["a", "b", "c"] {
-        let answer = read_answer(&mut stream, &mut rest, Instant::now());
-        assert_eq!(answer.manifest().period.id, title);
+        let response = read_response(&mut stream, &mut unparsed, Instant::now());
+        assert_eq!(response.manifest().period.id, title);
     }
 }
 
 #[test]
-fn slow_senders_do_not_keep_others_waiting() {
-    let p = place(&[Does::Plays]);
-    let mut slow: Vec<_> = (0..200).map(|_| connect(p.front.address)).collect();
-    let phone = Phone::new(10);
+fn slow_senders_do_not_delay_others() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept]);
+    let mut slow: Vec<_> = (0..200).map(|_| connect(deployment.front.address)).collect();
+    let viewer = TestViewer::new(10);
     for round in 0..5 {
-        for s in &mut slow {
-            s.write_all(&b"GET /"[round..=round]).unwrap();
+        for stream in &mut slow {
+            stream.write_all(&b"GET /"[round..=round]).unwrap();
         }
-        let answer = phone.asks(p.front.address, "water", &[0]);
-        assert_eq!(answer.status, 200);
-        assert!(answer.took < START_TARGET, "{:?}", answer.took);
+        let response = viewer.fetch_manifest(deployment.front.address, "water", &[0]);
+        assert_eq!(response.status, 200);
+        assert!(response.duration < START_TARGET, "{:?}", response.duration);
     }
-    // Each is told so once its time is over, and its connection closes.
-    for mut s in slow {
+    // Each gets a 408 after the header time-out, and its connection is closed.
+    for mut stream in slow {
         let mut text = String::new();
-        s.read_to_string(&mut text).unwrap();
+        stream.read_to_string(&mut text).unwrap();
         assert!(text.starts_with("HTTP/1.1 408"), "{text:?}");
     }
 }
 
+/// The front is stopped for 2 s while a box answers: it must use the answer that waits in its socket instead of treating
+/// the SETUP as timed out.
 #[test]
-fn a_front_that_stood_still_goes_on_and_blames_no_box() {
-    let p = place(&[Does::Late(50)]);
-    let phone = Phone::new(10);
-    let mut stream = connect(p.front.address);
-    let before = setups(&p.log).len();
-    let began = Instant::now();
-    stream.write_all(phone.request(p.front.address, "water", &[0]).as_bytes()).unwrap();
-    until("its SETUP", || (setups(&p.log).len() > before).then_some(()));
-    p.front.signal("-STOP");
-    let session = p.last_session();
-    p.log.wait("the box's answer", |(_, s)| *s == Saw::Done { session, status: 200 });
-    std::thread::sleep(Duration::from_millis(2_000).saturating_sub(began.elapsed()));
-    p.front.signal("-CONT");
-    let answer = read_answer(&mut stream, &mut Vec::new(), began);
-    assert_eq!(answer.status, 200, "the answer stood in the socket: {answer:?}");
-    assert!(answer.took < PATIENCE);
-    assert_eq!(p.setups_of(session).len(), 1, "no further SETUP beside one that was answered");
-    assert_eq!(phone.asks(p.front.address, "water", &[0]).status, 200);
+fn answer_received_while_the_front_was_stopped_is_used() {
+    let deployment = start_deployment(&[BoxBehaviour::AcceptAfterMs(50)]);
+    let viewer = TestViewer::new(10);
+    let mut stream = connect(deployment.front.address);
+    let before = setups_received(&deployment.log).len();
+    let started = Instant::now();
+    stream.write_all(viewer.manifest_request(deployment.front.address, "water", &[0]).as_bytes()).unwrap();
+    wait_until("the SETUP", || (setups_received(&deployment.log).len() > before).then_some(()));
+    deployment.front.signal("-STOP");
+    let session = deployment.last_session();
+    deployment.log.wait_for("the box's answer", |(_, event)| {
+        *event == BoxEvent::SetupAnswered { session, status: 200 }
+    });
+    std::thread::sleep(Duration::from_millis(2_000).saturating_sub(started.elapsed()));
+    deployment.front.signal("-CONT");
+    let response = read_response(&mut stream, &mut Vec::new(), started);
+    assert_eq!(response.status, 200, "the answer was in the socket: {response:?}");
+    assert!(response.duration < SETUP_TIMEOUT);
+    assert_eq!(deployment.setups_of(session).len(), 1, "a SETUP that was answered is not repeated");
+    assert_eq!(viewer.fetch_manifest(deployment.front.address, "water", &[0]).status, 200);
 }
 
 #[test]
-fn a_front_killed_and_started_again_serves_at_once() {
-    let p = place(&[Does::Plays, Does::Plays]);
-    let phone = Phone::new(10);
-    assert_eq!(phone.asks(p.front.address, "water", &[0, 1]).status, 200);
-    let boxes: Vec<&TestBox> = p.boxes.iter().collect();
-    let list = list_of(&boxes);
-    drop(p.front);
-    let again = Front::start(list);
-    ready(&again, &boxes);
-    assert_eq!(phone.asks(again.address, "water", &[0, 1]).status, 200);
+fn restarted_front_serves_requests() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept, BoxBehaviour::Accept]);
+    let viewer = TestViewer::new(10);
+    assert_eq!(viewer.fetch_manifest(deployment.front.address, "water", &[0, 1]).status, 200);
+    let boxes: Vec<&TestBox> = deployment.boxes.iter().collect();
+    let list = start_list_server(&boxes);
+    drop(deployment.front);
+    let restarted = Front::start(list);
+    wait_until_in_use(&restarted, &boxes);
+    assert_eq!(viewer.fetch_manifest(restarted.address, "water", &[0, 1]).status, 200);
 }
 
 #[test]
-fn a_stop_answers_what_is_in_hand_and_takes_no_more() {
-    let mut p = place(&[Does::Late(1_200)]);
-    let phone = Phone::new(10);
-    let mut waiting = connect(p.front.address);
-    let before = setups(&p.log).len();
-    waiting.write_all(phone.request(p.front.address, "water", &[0]).as_bytes()).unwrap();
-    until("its SETUP", || (setups(&p.log).len() > before).then_some(()));
-    p.front.signal("-TERM");
-    // Without a token, so that it is never in hand: refused before, told of the stop after.
-    until("no more are taken", || {
-        let answer = ask(p.front.address, "GET /m/fire.mpd HTTP/1.1\r\nHost: f\r\n\r\n");
-        (answer.status == 503 && answer.body.contains("stopping")).then_some(())
+fn open_request_is_answered_and_new_ones_are_refused_during_shutdown() {
+    let mut deployment = start_deployment(&[BoxBehaviour::AcceptAfterMs(1_200)]);
+    let viewer = TestViewer::new(10);
+    let mut open = connect(deployment.front.address);
+    let before = setups_received(&deployment.log).len();
+    open.write_all(viewer.manifest_request(deployment.front.address, "water", &[0]).as_bytes()).unwrap();
+    wait_until("the SETUP", || (setups_received(&deployment.log).len() > before).then_some(()));
+    deployment.front.signal("-TERM");
+    // Without a token the request is refused before the stop as well, but for another reason.
+    wait_until("new requests to be refused", || {
+        let response = send_request(deployment.front.address, "GET /m/fire.mpd HTTP/1.1\r\nHost: f\r\n\r\n");
+        (response.status == 503 && response.body.contains("stopping")).then_some(())
     });
-    assert_eq!(read_answer(&mut waiting, &mut Vec::new(), Instant::now()).status, 200);
-    let status = until("its end", || p.front.child.try_wait().unwrap());
+    assert_eq!(read_response(&mut open, &mut Vec::new(), Instant::now()).status, 200);
+    let status = wait_until("the front to exit", || deployment.front.process.try_wait().unwrap());
     assert!(status.success());
 }
 
 #[test]
-fn keys_change_by_reload() {
-    let p = place(&[Does::Plays]);
-    let phone = Phone::new(10);
-    let next = Phone::new(50).key;
-    let claims = phone.claims("water", &[0]);
-    let new_token = token::mint(&claims, b"k2", &next);
-    let by_new = || {
-        ask(
-            p.front.address,
-            &request("water", &new_token, &phone.proof(p.front.address, "water", &new_token)),
+fn issuer_keys_change_by_reload() {
+    let deployment = start_deployment(&[BoxBehaviour::Accept]);
+    let viewer = TestViewer::new(10);
+    let new_key = TestViewer::new(50).key;
+    let claims = viewer.claims("water", &[0]);
+    let new_token = token::mint(&claims, b"k2", &new_key);
+    let request_with_new_key = || {
+        send_request(
+            deployment.front.address,
+            &manifest_request(
+                "water",
+                &new_token,
+                &viewer.proof(deployment.front.address, "water", &new_token),
+            ),
         )
     };
-    assert_eq!(by_new().body.trim(), "unknown-key");
-    let file = p.front.folder.join("f.kdl");
-    let text = std::fs::read_to_string(&file).unwrap();
-    let key = walnutline_dash::encode_base64url(next.verifying_key().as_bytes());
-    std::fs::write(p.front.folder.join("k2.pub"), key).unwrap();
-    let line = "    issuer-key \"k1\" file=\"k1.pub\"\n";
-    let both = text.replace(line, &format!("{line}    issuer-key \"k2\" file=\"k2.pub\"\n"));
-    std::fs::write(&file, &both).unwrap();
-    p.front.signal("-HUP");
-    until("the new key", || (by_new().status == 200).then_some(()));
-    assert_eq!(phone.asks(p.front.address, "water", &[0]).status, 200, "the old key is good too");
-    // A document with a fault changes nothing.
-    std::fs::write(&file, both.replace(line, "    issuer-key \"k1\"\n")).unwrap();
-    p.front.signal("-HUP");
-    std::fs::write(&file, both.replace(line, "")).unwrap();
-    p.front.signal("-HUP");
-    until("the old key is gone", || (phone.asks(p.front.address, "water", &[0]).status == 401).then_some(()));
-    assert_eq!(by_new().status, 200);
+    assert_eq!(request_with_new_key().body.trim(), "unknown-key");
+    let document = deployment.front.directory.join("f.kdl");
+    let text = std::fs::read_to_string(&document).unwrap();
+    let key = walnutline_dash::encode_base64url(new_key.verifying_key().as_bytes());
+    std::fs::write(deployment.front.directory.join("k2.pub"), key).unwrap();
+    let old_line = "    issuer-key \"k1\" file=\"k1.pub\"\n";
+    let both = text.replace(old_line, &format!("{old_line}    issuer-key \"k2\" file=\"k2.pub\"\n"));
+    std::fs::write(&document, &both).unwrap();
+    deployment.front.signal("-HUP");
+    wait_until("the new key to be accepted", || (request_with_new_key().status == 200).then_some(()));
+    assert_eq!(
+        viewer.fetch_manifest(deployment.front.address, "water", &[0]).status,
+        200,
+        "the old key is still accepted"
+    );
+    // An invalid document changes nothing.
+    std::fs::write(&document, both.replace(old_line, "    issuer-key \"k1\"\n")).unwrap();
+    deployment.front.signal("-HUP");
+    std::fs::write(&document, both.replace(old_line, "")).unwrap();
+    deployment.front.signal("-HUP");
+    wait_until("the old key to be refused", || {
+        (viewer.fetch_manifest(deployment.front.address, "water", &[0]).status == 401).then_some(())
+    });
+    assert_eq!(request_with_new_key().status, 200);
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A front as a process, boxes that do as they are told, a list, and viewers, all on loopback.
+//! Runs a front as a process on loopback, with scripted boxes, a list server and viewers.
 #![allow(dead_code)]
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,109 +13,120 @@
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 use walnutline_gate::claims::{ProofClaims, ViewerClaims};
 
-/// Longest that anything here is waited for.
-pub const LONG: Duration = Duration::from_secs(20);
-/// The viewers' patience and start target that the document states.
-pub const PATIENCE: Duration = Duration::from_millis(3_000);
+/// How long a test waits for any single event.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// The `setup-timeout` in the settings document.
+pub const SETUP_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// The `start-target` in the settings document.
 pub const START_TARGET: Duration = Duration::from_millis(1_000);
 
+/// The current time, in milliseconds since the Unix epoch.
 pub fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1_000.0
 }
 
-/// Values that another thread waits on.
-pub struct Log<T> {
-    all: Mutex<Vec<(Instant, T)>>,
-    more: Condvar,
+/// Time-stamped events that other threads can wait for.
+pub struct EventLog<T> {
+    events: Mutex<Vec<(Instant, T)>>,
+    added: Condvar,
 }
 
-impl<T: Clone + std::fmt::Debug> Log<T> {
+impl<T: Clone + std::fmt::Debug> EventLog<T> {
     pub fn new() -> Arc<Self> {
-        Arc::new(Log { all: Mutex::new(Vec::new()), more: Condvar::new() })
+        Arc::new(EventLog { events: Mutex::new(Vec::new()), added: Condvar::new() })
     }
 
-    pub fn add(&self, value: T) {
-        self.all.lock().unwrap().push((Instant::now(), value));
-        self.more.notify_all();
+    /// Adds an event that happens now.
+    pub fn add(&self, event: T) {
+        self.events.lock().unwrap().push((Instant::now(), event));
+        self.added.notify_all();
     }
 
-    pub fn all(&self) -> Vec<(Instant, T)> {
-        self.all.lock().unwrap().clone()
+    /// All events so far, oldest first.
+    pub fn events(&self) -> Vec<(Instant, T)> {
+        self.events.lock().unwrap().clone()
     }
 
-    /// The first that fits, once it is there.
-    pub fn wait(&self, what: &str, fits: impl Fn(&T) -> bool) -> (Instant, T) {
-        let until = Instant::now() + LONG;
-        let mut all = self.all.lock().unwrap();
+    /// Waits for an event that matches, and returns the first one.
+    pub fn wait_for(&self, description: &str, matches: impl Fn(&T) -> bool) -> (Instant, T) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        let mut events = self.events.lock().unwrap();
         loop {
-            if let Some(found) = all.iter().find(|(_, v)| fits(v)) {
+            if let Some(found) = events.iter().find(|(_, event)| matches(event)) {
                 return found.clone();
             }
-            let left = until.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "waited for {what}; there is {all:?}");
-            all = self.more.wait_timeout(all, left).unwrap().0;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            assert!(!remaining.is_zero(), "timed out waiting for {description}; events: {events:?}");
+            events = self.added.wait_timeout(events, remaining).unwrap().0;
         }
     }
 }
 
-/// What a box does on a SETUP.
+/// How a box responds to a SETUP.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Does {
-    Plays,
+pub enum BoxBehaviour {
+    /// Answers 200.
+    Accept,
+    /// Answers 453.
     Busy,
-    Errs,
-    Never,
-    /// Plays, but says so only after that long.
-    Late(u64),
-    /// Breaks the connection without an answer.
-    Resets,
-    /// Plays, says so, and breaks the connection.
-    PlaysAndResets,
-    /// Closes its port for good, and the connection.
-    Dies,
+    /// Answers 500.
+    Error,
+    NoAnswer,
+    /// Answers 200 after this delay.
+    AcceptAfterMs(u64),
+    CloseWithoutAnswer,
+    /// Answers 200 and closes the connection.
+    AcceptThenClose,
+    /// Closes its port for good, and the connection without an answer.
+    StopListening,
 }
 
+/// What a box receives and answers.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Saw {
-    Setup { session: u64, token: String, rung: u8 },
-    Done { session: u64, status: u16 },
-    Teardown { session: String },
-    Probe,
+pub enum BoxEvent {
+    SetupReceived { session: u64, token: String, rung: u8 },
+    SetupAnswered { session: u64, status: u16 },
+    TeardownReceived { session: String },
+    ProbeReceived,
 }
 
-/// A box whose every move is told. All boxes of a test write to one log, with their numbers.
+/// A box whose behaviour the test sets. All boxes of a test write to one log, with their ids.
 pub struct TestBox {
     pub id: u32,
-    pub control: SocketAddr,
-    does: Arc<Mutex<Does>>,
+    pub control_address: SocketAddr,
+    behaviour: Arc<Mutex<BoxBehaviour>>,
 }
 
-pub type BoxLog = Arc<Log<(u32, Saw)>>;
+/// Events of all boxes of a test, each with the id of its box.
+pub type BoxLog = Arc<EventLog<(u32, BoxEvent)>>;
 
 impl TestBox {
-    pub fn start(id: u32, does: Does, log: &BoxLog) -> TestBox {
+    /// Starts a box on a free port.
+    pub fn start(id: u32, behaviour: BoxBehaviour, log: &BoxLog) -> TestBox {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let control = listener.local_addr().unwrap();
-        let does = Arc::new(Mutex::new(does));
-        let (d, log) = (does.clone(), log.clone());
+        let control_address = listener.local_addr().unwrap();
+        let behaviour = Arc::new(Mutex::new(behaviour));
+        let (shared_behaviour, log) = (behaviour.clone(), log.clone());
         std::thread::spawn(move || {
-            let dead = Arc::new(AtomicUsize::new(0));
+            let stopped = Arc::new(AtomicUsize::new(0));
             while let Ok((stream, _)) = listener.accept() {
-                if dead.load(Ordering::SeqCst) > 0 {
+                if stopped.load(Ordering::SeqCst) > 0 {
                     return;
                 }
-                let (d, log, dead) = (d.clone(), log.clone(), dead.clone());
-                std::thread::spawn(move || serve(id, stream, &d, &log, &dead));
+                let (behaviour, log, stopped) = (shared_behaviour.clone(), log.clone(), stopped.clone());
+                std::thread::spawn(move || serve_connection(id, stream, &behaviour, &log, &stopped));
             }
         });
-        TestBox { id, control, does }
+        TestBox { id, control_address, behaviour }
     }
 
-    pub fn does(&self, does: Does) {
-        *self.does.lock().unwrap() = does;
+    /// Sets how the box responds to SETUPs from now on.
+    pub fn set_behaviour(&self, behaviour: BoxBehaviour) {
+        *self.behaviour.lock().unwrap() = behaviour;
     }
 
-    pub fn line(&self) -> BoxEntry {
+    /// Its entry in the box list.
+    pub fn list_entry(&self) -> BoxEntry {
         BoxEntry {
             id: self.id,
             name: format!("box-{}", self.id),
@@ -125,64 +136,78 @@
             kind: 0,
             weight: 1.0,
             started_at_ms: None,
-            control_addr: self.control,
+            control_addr: self.control_address,
             media_url: format!("http://127.0.0.1:1/{}", self.id),
         }
     }
 }
 
-fn serve(id: u32, mut stream: TcpStream, does: &Mutex<Does>, log: &BoxLog, dead: &AtomicUsize) {
+/// Answers requests on one control connection until it ends.
+fn serve_connection(
+    id: u32,
+    mut stream: TcpStream,
+    behaviour: &Mutex<BoxBehaviour>,
+    log: &BoxLog,
+    stopped: &AtomicUsize,
+) {
     let mut reader = MessageReader::default();
-    let mut bytes = [0; 4_096];
+    let mut buffer = [0; 4_096];
     let writer = Arc::new(Mutex::new(stream.try_clone().unwrap()));
-    let say = |m: &Message| drop(writer.lock().unwrap().write_all(&rtsp::encode(m, "b").unwrap()));
-    while let Ok(n) = stream.read(&mut bytes) {
-        if n == 0 {
+    let send =
+        |message: &Message| drop(writer.lock().unwrap().write_all(&rtsp::encode(message, "b").unwrap()));
+    while let Ok(length) = stream.read(&mut buffer) {
+        if length == 0 {
             return;
         }
-        reader.push(&bytes[..n]);
+        reader.push(&buffer[..length]);
         while let Ok(Some(message)) = reader.next_message() {
             let Message::Request { cseq, request } = message else { continue };
-            let reply = |status| Message::Response { cseq, status, session: None, parameters: Vec::new() };
+            let response = |status| Message::Response { cseq, status, session: None, parameters: Vec::new() };
             match request {
                 ControlRequest::Setup { front_session: session, token, rung, .. } => {
-                    log.add((id, Saw::Setup { session, token, rung }));
-                    let does = *does.lock().unwrap();
-                    let plays = Message::Response {
+                    log.add((id, BoxEvent::SetupReceived { session, token, rung }));
+                    let behaviour = *behaviour.lock().unwrap();
+                    let accepted = Message::Response {
                         cseq,
                         status: 200,
                         session: Some(format!("s{session}")),
                         parameters: Vec::new(),
                     };
-                    let done = |status| log.add((id, Saw::Done { session, status }));
-                    match does {
-                        Does::Never => {}
-                        Does::Busy => {
-                            done(453);
-                            say(&reply(453));
+                    let log_answer = |status| log.add((id, BoxEvent::SetupAnswered { session, status }));
+                    match behaviour {
+                        BoxBehaviour::NoAnswer => {}
+                        BoxBehaviour::Busy => {
+                            log_answer(453);
+                            send(&response(453));
                         }
-                        Does::Errs => {
-                            done(500);
-                            say(&reply(500));
+                        BoxBehaviour::Error => {
+                            log_answer(500);
+                            send(&response(500));
                         }
-                        Does::Plays | Does::PlaysAndResets => {
-                            done(200);
-                            say(&plays);
+                        BoxBehaviour::Accept | BoxBehaviour::AcceptThenClose => {
+                            log_answer(200);
+                            send(&accepted);
                         }
-                        Does::Late(ms) => {
+                        BoxBehaviour::AcceptAfterMs(delay_ms) => {
                             let (writer, log) = (writer.clone(), log.clone());
                             std::thread::spawn(move || {
-                                std::thread::sleep(Duration::from_millis(ms));
-                                log.add((id, Saw::Done { session, status: 200 }));
-                                let _ = writer.lock().unwrap().write_all(&rtsp::encode(&plays, "b").unwrap());
+                                std::thread::sleep(Duration::from_millis(delay_ms));
+                                log.add((id, BoxEvent::SetupAnswered { session, status: 200 }));
+                                let _ =
+                                    writer.lock().unwrap().write_all(&rtsp::encode(&accepted, "b").unwrap());
                             });
                         }
-                        Does::Resets | Does::Dies => {}
+                        BoxBehaviour::CloseWithoutAnswer | BoxBehaviour::StopListening => {}
                     }
-                    if matches!(does, Does::Resets | Does::PlaysAndResets | Does::Dies) {
-                        if does == Does::Dies {
-                            dead.fetch_add(1, Ordering::SeqCst);
-                            // Wakes the listener, which then closes.
+                    if matches!(
+                        behaviour,
+                        BoxBehaviour::CloseWithoutAnswer
+                            | BoxBehaviour::AcceptThenClose
+                            | BoxBehaviour::StopListening
+                    ) {
+                        if behaviour == BoxBehaviour::StopListening {
+                            stopped.fetch_add(1, Ordering::SeqCst);
+                            // Wakes the accept loop, which then closes the listener.
                             let _ = TcpStream::connect(stream.local_addr().unwrap());
                         }
                         let _ = stream.shutdown(Shutdown::Both);
@@ -190,52 +215,56 @@
                     }
                 }
                 ControlRequest::GetParameter(_) => {
-                    log.add((id, Saw::Probe));
+                    log.add((id, BoxEvent::ProbeReceived));
                     let parameters = vec![(rtsp::LINK_USE.to_owned(), 0.1), (rtsp::STREAMS.to_owned(), 1.0)];
-                    say(&Message::Response { cseq, status: 200, session: None, parameters });
+                    send(&Message::Response { cseq, status: 200, session: None, parameters });
                 }
                 ControlRequest::Teardown { session } => {
-                    log.add((id, Saw::Teardown { session }));
-                    say(&reply(200));
+                    log.add((id, BoxEvent::TeardownReceived { session }));
+                    send(&response(200));
                 }
-                _ => say(&reply(200)),
+                _ => send(&response(200)),
             }
         }
     }
 }
 
-/// A list that says one thing to whoever asks and keeps the stream open.
-pub fn list_of(boxes: &[&TestBox]) -> SocketAddr {
+/// Starts a list server that sends the same box list on every connection and keeps the connections open.
+pub fn start_list_server(boxes: &[&TestBox]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let data = box_list::to_json(&BoxList { boxes: boxes.iter().map(|b| b.line()).collect() });
+    let data =
+        box_list::to_json(&BoxList { boxes: boxes.iter().map(|test_box| test_box.list_entry()).collect() });
     let event = Event { id: Some(1), name: box_list::FULL_LIST_EVENT.into(), data };
     let text = format!("HTTP/1.0 200 OK\r\n\r\n{}", event_stream::encode(&event));
     std::thread::spawn(move || {
-        let mut open = Vec::new();
+        let mut connections = Vec::new();
         while let Ok((mut stream, _)) = listener.accept() {
             let _ = stream.read(&mut [0; 2_048]);
             let _ = stream.write_all(text.as_bytes());
-            open.push(stream);
+            connections.push(stream);
         }
     });
     address
 }
 
-static COUNT: AtomicU32 = AtomicU32::new(0);
+/// Number of fronts started, for unique directory names.
+static FRONT_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A front as a process; killed when dropped.
+/// A front in a process of its own, which is killed when this is dropped.
 pub struct Front {
     pub address: SocketAddr,
-    pub child: Child,
-    pub folder: PathBuf,
+    pub process: Child,
+    pub directory: PathBuf,
 }
 
-pub fn issuer() -> SigningKey {
+/// The key that signs viewer tokens.
+pub fn issuer_key() -> SigningKey {
     SigningKey::from_bytes(&[1; 32])
 }
 
-pub fn document(list: SocketAddr) -> String {
+/// The settings document of a front that takes its boxes from this list server.
+pub fn settings_document(list: SocketAddr) -> String {
     format!(
         r#"listen "127.0.0.1:0"
 list "http://{list}/boxes"
@@ -266,70 +295,76 @@
 }
 
 impl Front {
+    /// Starts a front with the usual settings document.
     pub fn start(list: SocketAddr) -> Front {
-        Front::with(&document(list))
+        Front::start_with(&settings_document(list))
     }
 
-    pub fn with(document: &str) -> Front {
-        let unique = COUNT.fetch_add(1, Ordering::SeqCst);
-        let folder = std::env::temp_dir().join(format!("walnutline-path-{}-{unique}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).unwrap();
-        write("k1.pub", &encode_base64url(issuer().verifying_key().as_bytes()));
+    /// Starts a front with this settings document and waits until it listens.
+    pub fn start_with(document: &str) -> Front {
+        let unique = FRONT_COUNT.fetch_add(1, Ordering::SeqCst);
+        let directory = std::env::temp_dir().join(format!("walnutline-path-{}-{unique}", std::process::id()));
+        std::fs::create_dir_all(&directory).unwrap();
+        let write = |name: &str, text: &str| std::fs::write(directory.join(name), text).unwrap();
+        write("k1.pub", &encode_base64url(issuer_key().verifying_key().as_bytes()));
         write("f1.secret", &encode_base64url(&[2; 32]));
         write("f.kdl", document);
-        let at = folder.join("address");
-        let mut child = Command::new(env!("CARGO_BIN_EXE_walnutline"))
+        let address_file = directory.join("address");
+        let mut process = Command::new(env!("CARGO_BIN_EXE_walnutline"))
             .arg("front")
-            .arg(folder.join("f.kdl"))
+            .arg(directory.join("f.kdl"))
             .arg("--address-file")
-            .arg(&at)
+            .arg(&address_file)
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
-        let address = until("the front is up", || {
-            assert!(child.try_wait().unwrap().is_none(), "the front ended");
-            std::fs::read_to_string(&at).ok()
+        let address = wait_until("the front to listen", || {
+            assert!(process.try_wait().unwrap().is_none(), "the front exited");
+            std::fs::read_to_string(&address_file).ok()
         });
-        Front { address: address.parse().unwrap(), child, folder }
+        Front { address: address.parse().unwrap(), process, directory }
     }
 
+    /// Sends the process a signal, named as for `kill`: `-TERM`.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").arg(name).arg(self.child.id().to_string()).status();
-        assert!(done.unwrap().success());
+        let status = Command::new("kill").arg(name).arg(self.process.id().to_string()).status();
+        assert!(status.unwrap().success());
     }
 }
 
 impl Drop for Front {
     fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Looks again until there is something.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LONG;
+/// Polls until there is a value, and returns it.
+pub fn wait_until<T>(description: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "waited for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {description}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-pub struct Phone {
+/// A viewer with a key of its own, which signs a new proof for each request.
+pub struct TestViewer {
     pub key: SigningKey,
-    proofs: AtomicU32,
+    proof_count: AtomicU32,
 }
 
-impl Phone {
-    pub fn new(n: u8) -> Phone {
-        Phone { key: SigningKey::from_bytes(&[n; 32]), proofs: AtomicU32::new(0) }
+impl TestViewer {
+    /// A viewer whose key is 32 times this byte.
+    pub fn new(key_byte: u8) -> TestViewer {
+        TestViewer { key: SigningKey::from_bytes(&[key_byte; 32]), proof_count: AtomicU32::new(0) }
     }
 
+    /// The claims of its token for a title, valid for one minute.
     pub fn claims(&self, title: &str, holders: &[u32]) -> ViewerClaims {
         ViewerClaims {
             id: vec![7],
@@ -344,122 +379,139 @@
         }
     }
 
+    /// A signed token for a title.
     pub fn token(&self, title: &str, holders: &[u32]) -> String {
-        mint(&self.claims(title, holders))
+        mint_token(&self.claims(title, holders))
     }
 
+    /// A new proof of possession for a request with this token.
     pub fn proof(&self, front: SocketAddr, title: &str, token: &str) -> String {
-        let n = self.proofs.fetch_add(1, Ordering::SeqCst);
-        let made = ProofClaims {
+        let number = self.proof_count.fetch_add(1, Ordering::SeqCst);
+        let claims = ProofClaims {
             public_key: self.key.verifying_key().to_bytes(),
-            id: format!("p{n}"),
+            id: format!("p{number}"),
             method: "GET".into(),
             url: format!("http://{front}/m/{title}.mpd"),
             issued_at: unix_ms(),
             token_hash: token_hash(token),
         };
-        proof::mint(&made, &self.key)
+        proof::mint(&claims, &self.key)
     }
 
-    /// A whole request for a title.
-    pub fn request(&self, front: SocketAddr, title: &str, holders: &[u32]) -> String {
+    /// The text of a request for a title, with a new token and proof.
+    pub fn manifest_request(&self, front: SocketAddr, title: &str, holders: &[u32]) -> String {
         let token = self.token(title, holders);
-        request(title, &token, &self.proof(front, title, &token))
+        manifest_request(title, &token, &self.proof(front, title, &token))
     }
 
-    pub fn asks(&self, front: SocketAddr, title: &str, holders: &[u32]) -> Answer {
-        ask(front, &self.request(front, title, holders))
+    /// Sends a request for a title on a new connection, and returns the response.
+    pub fn fetch_manifest(&self, front: SocketAddr, title: &str, holders: &[u32]) -> HttpResponse {
+        send_request(front, &self.manifest_request(front, title, holders))
     }
 }
 
-pub fn mint(claims: &ViewerClaims) -> String {
-    token::mint(claims, b"k1", &issuer())
+/// Signs a viewer token with the issuer's key.
+pub fn mint_token(claims: &ViewerClaims) -> String {
+    token::mint(claims, b"k1", &issuer_key())
 }
 
-pub fn request(title: &str, token: &str, proof: &str) -> String {
+/// The text of a request for a title.
+pub fn manifest_request(title: &str, token: &str, proof: &str) -> String {
     format!(
         "GET /m/{title}.mpd HTTP/1.1\r\nHost: f\r\nCTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n"
     )
 }
 
+/// A whole HTTP response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub head: String,
     pub body: String,
-    pub took: Duration,
+    /// From the sending of the request to the end of the response.
+    pub duration: Duration,
 }
 
-impl Answer {
+impl HttpResponse {
+    /// The manifest in its body; fails unless the status is 200.
     pub fn manifest(&self) -> mpd::Mpd {
         assert_eq!(self.status, 200, "{self:?}");
         mpd::from_xml(&self.body).unwrap()
     }
 
-    /// The box that the manifest names.
-    pub fn server(&self) -> u32 {
-        let base = self.manifest().base_url;
-        base.strip_prefix("http://127.0.0.1:1/").unwrap().split('/').next().unwrap().parse().unwrap()
+    /// The id of the box that the manifest names.
+    pub fn box_id(&self) -> u32 {
+        let base_url = self.manifest().base_url;
+        base_url.strip_prefix("http://127.0.0.1:1/").unwrap().split('/').next().unwrap().parse().unwrap()
     }
 }
 
+/// Opens a connection to the front, with a read time-out.
 pub fn connect(front: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(front).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream
 }
 
-/// One request on a connection of its own. That nothing comes after the answer is seen at its close.
-pub fn ask(front: SocketAddr, text: &str) -> Answer {
+/// Sends a request on a new connection. A malformed request follows, which makes the front close the connection: by then
+/// no second response to the first request may have come.
+pub fn send_request(front: SocketAddr, request: &str) -> HttpResponse {
     let mut stream = connect(front);
-    let began = Instant::now();
-    stream.write_all(text.as_bytes()).unwrap();
-    let mut rest = Vec::new();
-    let answer = read_answer(&mut stream, &mut rest, began);
+    let started = Instant::now();
+    stream.write_all(request.as_bytes()).unwrap();
+    let mut unparsed = Vec::new();
+    let response = read_response(&mut stream, &mut unparsed, started);
     stream.write_all(b"BAD\r\n\r\n").unwrap();
-    let mut after = String::from_utf8(rest).unwrap();
-    let _ = stream.read_to_string(&mut after);
-    let more = after.matches("HTTP/1.1 ").count();
-    assert!(more <= 1 && (more == 0 || after.starts_with("HTTP/1.1 400")), "answered again: {after}");
-    answer
+    let mut following = String::from_utf8(unparsed).unwrap();
+    let _ = stream.read_to_string(&mut following);
+    let count = following.matches("HTTP/1.1 ").count();
+    assert!(
+        count <= 1 && (count == 0 || following.starts_with("HTTP/1.1 400")),
+        "a second response: {following}"
+    );
+    response
 }
 
-pub fn read_answer(stream: &mut TcpStream, rest: &mut Vec<u8>, began: Instant) -> Answer {
-    let mut bytes = [0; 4_096];
+/// Reads the next response to a request sent at `started`; bytes that follow it stay in `unparsed`.
+pub fn read_response(stream: &mut TcpStream, unparsed: &mut Vec<u8>, started: Instant) -> HttpResponse {
+    let mut buffer = [0; 4_096];
     loop {
-        if let Some(end) = rest.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8(rest[..end + 4].to_vec()).unwrap();
-            let len = head.lines().find_map(|l| l.strip_prefix("Content-Length: ")).unwrap();
-            let whole = end + 4 + len.parse::<usize>().unwrap();
-            if rest.len() >= whole {
-                let body = String::from_utf8(rest[end + 4..whole].to_vec()).unwrap();
-                rest.drain(..whole);
+        if let Some(end) = unparsed.windows(4).position(|window| window == b"\r\n\r\n") {
+            let head = String::from_utf8(unparsed[..end + 4].to_vec()).unwrap();
+            let body_length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).unwrap();
+            let total_length = end + 4 + body_length.parse::<usize>().unwrap();
+            if unparsed.len() >= total_length {
+                let body = String::from_utf8(unparsed[end + 4..total_length].to_vec()).unwrap();
+                unparsed.drain(..total_length);
                 let status = head.split(' ').nth(1).unwrap().parse().unwrap();
-                return Answer { status, head, body, took: began.elapsed() };
+                return HttpResponse { status, head, body, duration: started.elapsed() };
             }
         }
-        let n = stream.read(&mut bytes).unwrap();
-        assert!(n > 0, "no answer: {:?}", String::from_utf8_lossy(rest));
-        rest.extend_from_slice(&bytes[..n]);
+        let length = stream.read(&mut buffer).unwrap();
+        assert!(
+            length > 0,
+            "connection closed before a whole response: {:?}",
+            String::from_utf8_lossy(unparsed)
+        );
+        unparsed.extend_from_slice(&buffer[..length]);
     }
 }
 
-/// SETUPs in their order, each with when it was answered: none may begin while another is out, though one that
-/// timed out at the front is out no more.
-pub fn setups(log: &BoxLog) -> Vec<(Instant, u32, u64)> {
-    let of = |(at, (id, saw)): (Instant, (u32, Saw))| match saw {
-        Saw::Setup { session, .. } => Some((at, id, session)),
+/// The SETUPs that boxes have received, oldest first: time, box and session of each.
+pub fn setups_received(log: &BoxLog) -> Vec<(Instant, u32, u64)> {
+    let setup = |(received_at, (id, event)): (Instant, (u32, BoxEvent))| match event {
+        BoxEvent::SetupReceived { session, .. } => Some((received_at, id, session)),
         _ => None,
     };
-    log.all().into_iter().filter_map(of).collect()
+    log.events().into_iter().filter_map(setup).collect()
 }
 
-/// Waits until the front has heard of its boxes: each has a control connection on which it answers.
-pub fn ready(front: &Front, boxes: &[&TestBox]) {
-    let phone = Phone::new(99);
-    for b in boxes {
-        until("a box is in use", || {
-            (phone.asks(front.address, "warm-up", &[b.id]).status == 200).then_some(())
+/// Waits until the front places sessions on each of these boxes.
+pub fn wait_until_in_use(front: &Front, boxes: &[&TestBox]) {
+    let viewer = TestViewer::new(99);
+    for test_box in boxes {
+        wait_until("a box to be in use", || {
+            (viewer.fetch_manifest(front.address, "warm-up", &[test_box.id]).status == 200).then_some(())
         });
     }
 }
