--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -123,8 +123,8 @@
     let viewer = TestViewer::new(11);
     let before = setups_received(&deployment.log).len();
     for holders in [&[2u32][..], &[1], &[2, 1]] {
-        let answer = viewer.fetch_manifest(deployment.front.address, "water", holders);
-        assert!(holders.contains(&answer.box_id()), "{holders:?} was placed on {}", answer.box_id());
+        let response = viewer.fetch_manifest(deployment.front.address, "water", holders);
+        assert!(holders.contains(&response.box_id()), "{holders:?} was placed on {}", response.box_id());
     }
     let sent: Vec<u32> = setups_received(&deployment.log)[before..].iter().map(|setup| setup.1).collect();
     assert!(sent.iter().all(|id| *id != 0), "a box that no request named got a SETUP: {sent:?}");
@@ -139,7 +139,7 @@
             let row = table.lines().find(|line| line.split_whitespace().take(2).eq([kind, server]));
             row.and_then(|line| line.split_whitespace().last()?.parse::<u32>().ok()).unwrap_or(0)
         };
-        // Requests named box 2, which the catalogue lacks, twice; they left out box 1 once and box 0 three times.
+        // Requests named box 2, which is no holder in the catalogue, twice; they left out box 1 once and box 0 three times.
         let counts =
             (count("unknown-holder", "2"), count("missing-holder", "1"), count("missing-holder", "0"));
         (counts == (2, 1, 3) && count("gone-holder", "1") >= 2 && count("unknown-title", "-") >= 1)
@@ -158,12 +158,12 @@
                 let viewer = TestViewer::new(20 + index);
                 while !finished.load(Ordering::SeqCst) {
                     // `fetch_manifest` fails if a second response follows.
-                    let answer = viewer.fetch_manifest(front.address, "water", &[0, 1, 2]);
-                    assert_eq!(answer.status, 200, "{answer:?}");
+                    let response = viewer.fetch_manifest(front.address, "water", &[0, 1, 2]);
+                    assert_eq!(response.status, 200, "{response:?}");
                     assert!(
-                        answer.duration < START_TARGET,
+                        response.duration < START_TARGET,
                         "response after the start target: {:?}",
-                        answer.duration
+                        response.duration
                     );
                     count.fetch_add(1, Ordering::SeqCst);
                 }
