--- a/crates/front/src/authorizer.rs
+++ b/crates/front/src/authorizer.rs
@@ -1,5 +1,5 @@
 //! Authorizes viewers' requests by token and proof, and issues session tokens. `walnutline_dash` decodes and verifies
-//! signatures, `walnutline_gate` decides by the claims.
+//! signatures, `walnutline_auth` decides by the claims.
 use arc_swap::ArcSwap;
 use std::sync::Mutex;
 use walnutline_auth::authorization::{AuthorizationPolicy, Refusal, RequestContext};
