--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -1,5 +1,5 @@
-//! `walnutline bench path`: the time from request to answer through a front, beside the same boxes asked straight,
-//! in one run; and where the time goes.
+//! `walnutline bench path`: measures the time from request to answer through a front, and for the same boxes without a
+//! front, in one run; then the cost of the parts of a request.
 use crate::bench_catalogue;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -18,115 +18,127 @@
 use walnutline_rehearsal::list::Listing;
 use walnutline_rehearsal::record::Recorder;
 
+/// Sub-commands of `walnutline bench`.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Requests a second on a core, and the time from request to answer.
+    /// Measure requests per second and core, and the time from request to answer.
     Path {
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 2_000)]
         rate: u32,
-        /// Seconds of load; proofs are made before, so at most eight.
+        /// Seconds of load; at most eight, as all proofs are signed beforehand.
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=8))]
         seconds: u32,
-        /// Viewers' connections, each with a thread.
+        /// Number of viewer connections, each with a thread.
         #[arg(long, default_value_t = 8)]
         connections: u32,
-        /// Threads of the front that run coroutines.
+        /// Number of threads of the front that run coroutines.
         #[arg(long, default_value_t = 1)]
         workers: u32,
     },
-    /// The catalogue's structures beside plain ones, and answers while a load is under way.
+    /// Compare the catalogue's data structures with plain ones, and measure answers during a load.
     Catalogue(bench_catalogue::Args),
 }
 
 const BOXES: u32 = 12;
-/// Sessions end soon: cost of a decision grows with the sessions in hand, which is measured elsewhere.
-const SESSIONS_LAST: f64 = 50.0;
+/// Sessions end soon: the cost of a decision grows with the number of open sessions, which is not measured here.
+const SESSION_DURATION_MS: f64 = 50.0;
 
+/// Runs a sub-command of `walnutline bench`.
 pub fn run(command: Command) -> Result<(), String> {
     match command {
-        Command::Path { rate, seconds, connections, workers } => path(rate, seconds, connections, workers),
+        Command::Path { rate, seconds, connections, workers } => {
+            bench_path(rate, seconds, connections, workers)
+        }
         Command::Catalogue(args) => bench_catalogue::run(args),
     }
 }
 
-fn path(rate: u32, seconds: u32, connections: u32, workers: u32) -> Result<(), String> {
-    let bench = Bench::with(workers, "")?;
+fn bench_path(rate: u32, seconds: u32, connections: u32, workers: u32) -> Result<(), String> {
+    let front = BenchFront::start(workers, "")?;
     println!(
         "{BOXES} stand-in boxes that answer at once, 1 front with {workers} worker, {rate} requests a second"
     );
-    let straight = bench.straight(rate, seconds, connections)?;
-    let before = bench.front_cpu()?;
-    let through = bench.through(rate, seconds, connections)?;
-    let cpu = bench.front_cpu()? - before;
-    let us = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
+    let direct = front.measure_direct(rate, seconds, connections)?;
+    let cpu_before_s = front.cpu_seconds()?;
+    let through_front = front.measure(rate, seconds, connections)?;
+    let cpu_s = front.cpu_seconds()? - cpu_before_s;
+    let quantile_us =
+        |histogram: &Histogram<u64>, quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
     println!("time to answer, us        p50      p99    p99.9      max  requests");
-    for (name, h) in [("straight to a box", &straight), ("through the front", &through)] {
+    for (name, histogram) in [("straight to a box", &direct), ("through the front", &through_front)] {
         println!(
             "{name}   {:8.0} {:8.0} {:8.0} {:8.0} {:9}",
-            us(h, 0.5),
-            us(h, 0.99),
-            us(h, 0.999),
-            h.max() as f64 / 1_000.0,
-            h.len()
+            quantile_us(histogram, 0.5),
+            quantile_us(histogram, 0.99),
+            quantile_us(histogram, 0.999),
+            histogram.max() as f64 / 1_000.0,
+            histogram.len()
         );
     }
-    let adds = |q| us(&through, q) - us(&straight, q);
-    println!("the front adds {:.0} us at p50, {:.0} us at p99", adds(0.5), adds(0.99));
-    let n = through.len() as f64;
+    let added_us = |quantile| quantile_us(&through_front, quantile) - quantile_us(&direct, quantile);
+    println!("the front adds {:.0} us at p50, {:.0} us at p99", added_us(0.5), added_us(0.99));
+    let requests = through_front.len() as f64;
     println!(
         "the front's own time: {:.0} us a request; {:.0} requests a second on a core",
-        cpu * 1e6 / n,
-        n / cpu
+        cpu_s * 1e6 / requests,
+        requests / cpu_s
     );
-    parts()
+    measure_parts()
 }
 
-pub struct Bench {
-    front: Child,
+/// A front in a process of its own, with simulated boxes that answer at once; killed when dropped.
+pub struct BenchFront {
+    process: Child,
     address: SocketAddr,
     boxes: Vec<boxes::Process>,
-    issuer: SigningKey,
-    key: SigningKey,
-    _folder: Folder,
+    issuer_key: SigningKey,
+    session_key: SigningKey,
+    _directory: Folder,
 }
 
-impl Drop for Bench {
+impl Drop for BenchFront {
     fn drop(&mut self) {
-        let _ = self.front.kill();
-        let _ = self.front.wait();
+        let _ = self.process.kill();
+        let _ = self.process.wait();
     }
 }
 
-fn now() -> f64 {
+/// The current time, in milliseconds since the Unix epoch.
+fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0
 }
 
-impl Bench {
-    /// A front with a depot that answers at once; `more` is added to its document.
-    pub fn with(workers: u32, more: &str) -> Result<Self, String> {
+impl BenchFront {
+    /// Starts the boxes, a list server and the front, and waits until the front is warm. `extra_settings` is appended to
+    /// its settings document.
+    pub fn start(workers: u32, extra_settings: &str) -> Result<Self, String> {
         may::config().set_workers(2).set_stack_size(0x8000);
-        let folder = Folder::new()?;
+        let directory = Folder::new()?;
         let script = walnutline_rehearsal::script::parse("bench", "boxes 12 in 3 racks\nfronts 1")?;
-        let seen = Arc::new(Recorder::create(&folder.0.join("records.jsonl"))?);
-        let mut kind = deployment::kind(&script);
-        (kind.streams, kind.link_kb, kind.uplink_kb) = (1_000_000, 1e10, 1e11);
-        let (issuer, key) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[2; 32]));
-        folder.write("k1.pub", &encode_base64url(issuer.verifying_key().as_bytes()))?;
-        folder.write("f0.secret", &encode_base64url(key.as_bytes()))?;
-        let (listing, list) = Listing::start(seen.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
-        // The terms' limits stay; only what a depot carries is out of the way.
-        let document = deployment::document(&script, &kind, &deployment::terms(), list, 0);
-        folder.write("f0.kdl", &(document.replace("free=5 share=0.2", "free=100000 share=1") + more))?;
-        let depot = Arc::new(Depot::new(BOXES, 3, kind, seen));
-        let keys = BTreeMap::from([(b"f0".to_vec(), (0, key.verifying_key()))]);
-        let mut common = Common::new(depot, keys, BTreeMap::new(), 0.01, 500.0);
-        (common.setup_takes, common.sessions_last) = ((0.0, 0.0), Some(SESSIONS_LAST));
-        let common = Arc::new(common);
-        let mut started = Vec::new();
+        let recorder = Arc::new(Recorder::create(&directory.0.join("records.jsonl"))?);
+        let mut box_settings = deployment::kind(&script);
+        (box_settings.streams, box_settings.link_kb, box_settings.uplink_kb) = (1_000_000, 1e10, 1e11);
+        let (issuer_key, session_key) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[2; 32]));
+        directory.write("k1.pub", &encode_base64url(issuer_key.verifying_key().as_bytes()))?;
+        directory.write("f0.secret", &encode_base64url(session_key.as_bytes()))?;
+        let (list_server, list_address) =
+            Listing::start(recorder.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
+        // Raises the limits on what the boxes can carry, and leaves all others as they are.
+        let document = deployment::document(&script, &box_settings, &deployment::terms(), list_address, 0);
+        directory.write(
+            "f0.kdl",
+            &(document.replace("free=5 share=0.2", "free=100000 share=1") + extra_settings),
+        )?;
+        let fleet = Arc::new(Depot::new(BOXES, 3, box_settings, recorder));
+        let front_keys = BTreeMap::from([(b"f0".to_vec(), (0, session_key.verifying_key()))]);
+        let mut context = Common::new(fleet, front_keys, BTreeMap::new(), 0.01, 500.0);
+        (context.setup_takes, context.sessions_last) = ((0.0, 0.0), Some(SESSION_DURATION_MS));
+        let context = Arc::new(context);
+        let mut boxes = Vec::new();
         for server in 0..BOXES {
-            let p = boxes::Process::start(&common, server, false).map_err(|e| format!("box: {e}"))?;
-            let line = BoxEntry {
+            let process = boxes::Process::start(&context, server, false).map_err(|e| format!("box: {e}"))?;
+            let entry = BoxEntry {
                 id: server,
                 name: format!("box-{server}"),
                 state: BoxState::Ready,
@@ -135,62 +147,63 @@
                 kind: 0,
                 weight: 1.0,
                 started_at_ms: None,
-                control_addr: p.control,
-                media_url: format!("http://{}", p.media),
+                control_addr: process.control,
+                media_url: format!("http://{}", process.media),
             };
-            listing.change(vec![line]);
-            started.push(p);
+            list_server.change(vec![entry]);
+            boxes.push(process);
         }
-        let at = folder.0.join("address");
-        let front = Process::new(std::env::current_exe().map_err(|e| e.to_string())?)
+        let address_file = directory.0.join("address");
+        let process = Process::new(std::env::current_exe().map_err(|e| e.to_string())?)
             .args(["front", "--workers", &workers.to_string(), "--address-file"])
-            .arg(&at)
-            .arg(folder.0.join("f0.kdl"))
+            .arg(&address_file)
+            .arg(directory.0.join("f0.kdl"))
             .env("RUST_LOG", "warn")
             .stdin(Stdio::null())
             .spawn()
             .map_err(|e| format!("front: {e}"))?;
-        let mut bench = Bench {
-            front,
+        let mut front = BenchFront {
+            process,
             address: ([127, 0, 0, 1], 0).into(),
-            boxes: started,
-            issuer,
-            key,
-            _folder: folder,
+            boxes,
+            issuer_key,
+            session_key,
+            _directory: directory,
         };
-        let until = Instant::now() + Duration::from_secs(10);
-        while bench.address.port() == 0 {
-            if Instant::now() > until {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while front.address.port() == 0 {
+            if Instant::now() > deadline {
                 return Err("the front is not up after 10 s".into());
             }
             std::thread::sleep(Duration::from_millis(10));
-            if let Ok(text) = std::fs::read_to_string(&at) {
-                bench.address = text.parse().map_err(|_| format!("address {text:?}"))?;
+            if let Ok(text) = std::fs::read_to_string(&address_file) {
+                front.address = text.parse().map_err(|_| format!("address {text:?}"))?;
             }
         }
-        // Warm: every box connected and heard of.
-        bench.through(400, 1, 2)?;
-        Ok(bench)
+        // Warms the front up: every box is connected and has reported its load.
+        front.measure(400, 1, 2)?;
+        Ok(front)
     }
 
     /// The front's processor time so far, in seconds.
-    pub fn front_cpu(&self) -> Result<f64, String> {
-        let path = format!("/proc/{}/stat", self.front.id());
+    pub fn cpu_seconds(&self) -> Result<f64, String> {
+        let path = format!("/proc/{}/stat", self.process.id());
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok());
-        // Fields 14 and 15 of the whole line, in ticks of a hundredth of a second.
+        let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<f64>().ok());
+        // `utime` and `stime` are fields 14 and 15 of the whole line, in ticks of 10 ms.
         let (user, system) = (ticks(11).ok_or("stat: no utime")?, ticks(12).ok_or("stat: no stime")?);
         Ok((user + system) / 100.0)
     }
 
-    /// The front's process.
+    /// The front's process id.
     pub fn pid(&self) -> u32 {
-        self.front.id()
+        self.process.id()
     }
 
-    pub fn through(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
-        let viewer = SigningKey::from_bytes(&[3; 32]);
+    /// Sends manifest requests to the front, and measures the time to each answer in ns.
+    pub fn measure(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
+        let viewer_key = SigningKey::from_bytes(&[3; 32]);
         let claims = ViewerClaims {
             id: vec![1],
             manifest_path: "/m/bench.mpd".into(),
@@ -199,26 +212,26 @@
             max_rung: None,
             tenant: None,
             not_before: None,
-            expires_at: now() + 600_000.0,
-            viewer_key: viewer.verifying_key().to_bytes(),
+            expires_at: unix_ms() + 600_000.0,
+            viewer_key: viewer_key.verifying_key().to_bytes(),
         };
-        let token = token::mint(&claims, b"k1", &self.issuer);
-        let begun = now();
-        let request = |no: u32, n: u32| {
-            let made = ProofClaims {
+        let token = token::mint(&claims, b"k1", &self.issuer_key);
+        let run_started_ms = unix_ms();
+        let request = |connection: u32, index: u32| {
+            let proof_claims = ProofClaims {
                 public_key: claims.viewer_key,
-                id: format!("{begun}-{no}-{n}"),
+                id: format!("{run_started_ms}-{connection}-{index}"),
                 method: "GET".into(),
                 url: format!("http://{}{}", self.address, claims.manifest_path),
-                issued_at: now(),
+                issued_at: unix_ms(),
                 token_hash: token_hash(&token),
             };
-            let proof = proof::mint(&made, &viewer);
+            let proof = proof::mint(&proof_claims, &viewer_key);
             let head = format!("GET {} HTTP/1.1\r\nHost: b\r\n", claims.manifest_path);
             format!("{head}CTA-Common-Access-Token: {token}\r\nDPoP: {proof}\r\n\r\n").into_bytes()
         };
-        load(rate, seconds, connections, self.address, &request, &|stream, rest| {
-            let head = answer(stream, rest)?;
+        run_load(rate, seconds, connections, self.address, &request, &|stream, unparsed| {
+            let head = read_response_head(stream, unparsed)?;
             if head.starts_with("HTTP/1.1 200 ") {
                 Ok(())
             } else {
@@ -227,39 +240,40 @@
         })
     }
 
-    fn straight(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
-        let server = &self.boxes[0];
-        let encoded_setup = |no: u32, n: u32| {
-            let session = u64::from(no) << 32 | u64::from(n);
-            let path = format!("/s/{session}/");
+    /// Sends SETUPs to a box without the front, and measures the time to each answer in ns.
+    fn measure_direct(&self, rate: u32, seconds: u32, connections: u32) -> Result<Histogram<u64>, String> {
+        let box_process = &self.boxes[0];
+        let encoded_setup = |connection: u32, index: u32| {
+            let session = u64::from(connection) << 32 | u64::from(index);
+            let path_prefix = format!("/s/{session}/");
             let claims = SessionClaims {
                 session,
-                server: server.server,
-                path_prefix: path,
-                expires_at: now() + 600_000.0,
+                server: box_process.server,
+                path_prefix,
+                expires_at: unix_ms() + 600_000.0,
             };
             let request = ControlRequest::Setup {
                 title: "bench".into(),
                 service_group: "council-notice".into(),
                 rung: 0,
                 front_session: session,
-                token: token::mint_session(&claims, b"f0", &self.key),
+                token: token::mint_session(&claims, b"f0", &self.session_key),
             };
-            rtsp::encode(&Message::Request { cseq: n + 1, request }, "127.0.0.1").expect("a plain host")
+            rtsp::encode(&Message::Request { cseq: index + 1, request }, "127.0.0.1").expect("a plain host")
         };
-        load(rate, seconds, connections, server.control, &encoded_setup, &|stream, rest| {
-            let mut bytes = [0; 4_096];
+        run_load(rate, seconds, connections, box_process.control, &encoded_setup, &|stream, unparsed| {
+            let mut buffer = [0; 4_096];
             let mut reader = MessageReader::default();
-            reader.push(&std::mem::take(rest));
+            reader.push(&std::mem::take(unparsed));
             loop {
-                // The box also says when earlier sessions end.
-                while let Some(m) = reader.next_message().map_err(|e| e.to_string())? {
-                    if let Message::Response { status, .. } = m {
+                // Notices of the end of earlier sessions come on the same connection.
+                while let Some(message) = reader.next_message().map_err(|e| e.to_string())? {
+                    if let Message::Response { status, .. } = message {
                         return if status == 200 { Ok(()) } else { Err(format!("box answered {status}")) };
                     }
                 }
-                match stream.read(&mut bytes) {
-                    Ok(n) if n > 0 => reader.push(&bytes[..n]),
+                match stream.read(&mut buffer) {
+                    Ok(length) if length > 0 => reader.push(&buffer[..length]),
                     other => return Err(format!("box: {other:?}")),
                 }
             }
@@ -267,75 +281,85 @@
     }
 }
 
-type Requests<'a> = &'a (dyn Fn(u32, u32) -> Vec<u8> + Sync);
-type Answered<'a> = &'a (dyn Fn(&mut TcpStream, &mut Vec<u8>) -> Result<(), String> + Sync);
+/// Builds the request with this index on this connection.
+type BuildRequest<'a> = &'a (dyn Fn(u32, u32) -> Vec<u8> + Sync);
+/// Reads the answer to the last request; bytes that follow it stay in the buffer.
+type ReadAnswer<'a> = &'a (dyn Fn(&mut TcpStream, &mut Vec<u8>) -> Result<(), String> + Sync);
 
-/// Sends at a steady rate whatever the answers take: each time counts from when its request was due.
-fn load(
+/// Sends requests at a steady rate and measures the time to each answer in ns. The time counts from when a request was
+/// due, so that a delay of earlier answers is included.
+fn run_load(
     rate: u32,
     seconds: u32,
     connections: u32,
-    to: SocketAddr,
-    request: Requests,
-    answered: Answered,
+    address: SocketAddr,
+    build_request: BuildRequest,
+    read_answer: ReadAnswer,
 ) -> Result<Histogram<u64>, String> {
-    let each = rate * seconds / connections;
-    let gap = Duration::from_secs_f64(f64::from(connections) / f64::from(rate));
+    let requests_each = rate * seconds / connections;
+    let interval = Duration::from_secs_f64(f64::from(connections) / f64::from(rate));
     let barrier = std::sync::Barrier::new(connections as usize);
     let histograms: Vec<Result<Histogram<u64>, String>> = std::thread::scope(|scope| {
-        let one = |no: u32| {
+        let start_connection = |connection: u32| {
             let barrier = &barrier;
             scope.spawn(move || {
-                let requests: Vec<Vec<u8>> = (0..each).map(|n| request(no, n)).collect();
-                let stream = TcpStream::connect(to).and_then(|s| s.set_nodelay(true).map(|()| s));
+                let requests: Vec<Vec<u8>> =
+                    (0..requests_each).map(|index| build_request(connection, index)).collect();
+                let stream =
+                    TcpStream::connect(address).and_then(|stream| stream.set_nodelay(true).map(|()| stream));
                 barrier.wait();
-                let mut stream = stream.map_err(|e| format!("{to}: {e}"))?;
-                let mut h = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-                let mut rest = Vec::new();
-                let began = Instant::now() + gap.mul_f64(f64::from(no) / f64::from(connections));
-                for (n, bytes) in requests.iter().enumerate() {
-                    let due = began + gap * n as u32;
-                    std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                    stream.write_all(bytes).map_err(|e| e.to_string())?;
-                    answered(&mut stream, &mut rest)?;
-                    h.record(due.elapsed().as_nanos() as u64).map_err(|e| e.to_string())?;
+                let mut stream = stream.map_err(|e| format!("{address}: {e}"))?;
+                let mut histogram = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
+                let mut unparsed = Vec::new();
+                let first_due_at =
+                    Instant::now() + interval.mul_f64(f64::from(connection) / f64::from(connections));
+                for (index, request) in requests.iter().enumerate() {
+                    let due_at = first_due_at + interval * index as u32;
+                    std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
+                    stream.write_all(request).map_err(|e| e.to_string())?;
+                    read_answer(&mut stream, &mut unparsed)?;
+                    histogram.record(due_at.elapsed().as_nanos() as u64).map_err(|e| e.to_string())?;
                 }
-                Ok(h)
+                Ok(histogram)
             })
         };
-        let threads: Vec<_> = (0..connections).map(one).collect();
-        threads.into_iter().map(|t| t.join().unwrap_or_else(|_| Err("a thread broke".into()))).collect()
+        let threads: Vec<_> = (0..connections).map(start_connection).collect();
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap_or_else(|_| Err("a load thread panicked".into())))
+            .collect()
     });
     let mut sum = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    for h in histograms {
-        sum.add(h?).map_err(|e| e.to_string())?;
+    for histogram in histograms {
+        sum.add(histogram?).map_err(|e| e.to_string())?;
     }
     Ok(sum)
 }
 
-/// One HTTP answer; its head.
-fn answer(stream: &mut TcpStream, rest: &mut Vec<u8>) -> Result<String, String> {
-    let mut bytes = [0; 8_192];
+/// Reads one HTTP response and returns its head; bytes that follow it stay in `unparsed`.
+fn read_response_head(stream: &mut TcpStream, unparsed: &mut Vec<u8>) -> Result<String, String> {
+    let mut buffer = [0; 8_192];
     loop {
-        if let Some(end) = rest.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&rest[..end + 4]).into_owned();
-            let len = head.lines().find_map(|l| l.strip_prefix("Content-Length: "));
-            let whole = end + 4 + len.and_then(|l| l.parse::<usize>().ok()).unwrap_or(0);
-            if rest.len() >= whole {
-                rest.drain(..whole);
+        if let Some(end) = unparsed.windows(4).position(|window| window == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&unparsed[..end + 4]).into_owned();
+            let body_length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+            let total_length =
+                end + 4 + body_length.and_then(|length| length.parse::<usize>().ok()).unwrap_or(0);
+            if unparsed.len() >= total_length {
+                unparsed.drain(..total_length);
                 return Ok(head);
             }
         }
-        match stream.read(&mut bytes) {
-            Ok(n) if n > 0 => rest.extend_from_slice(&bytes[..n]),
+        match stream.read(&mut buffer) {
+            Ok(length) if length > 0 => unparsed.extend_from_slice(&buffer[..length]),
             other => return Err(format!("front: {other:?}")),
         }
     }
 }
 
-/// What the parts of a request's way cost by themselves, on this machine in this run.
-fn parts() -> Result<(), String> {
-    let (issuer, viewer) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[3; 32]));
+/// Measures the parts of handling a request by themselves.
+fn measure_parts() -> Result<(), String> {
+    let (issuer_key, viewer_key) = (SigningKey::from_bytes(&[1; 32]), SigningKey::from_bytes(&[3; 32]));
     let claims = ViewerClaims {
         id: vec![1],
         manifest_path: "/m/bench.mpd".into(),
@@ -345,20 +369,21 @@
         tenant: None,
         not_before: None,
         expires_at: 2e12,
-        viewer_key: viewer.verifying_key().to_bytes(),
+        viewer_key: viewer_key.verifying_key().to_bytes(),
     };
-    let text = token::mint(&claims, b"k1", &issuer);
-    let made = ProofClaims {
+    let token = token::mint(&claims, b"k1", &issuer_key);
+    let proof_claims = ProofClaims {
         public_key: claims.viewer_key,
         id: "a".into(),
         method: "GET".into(),
         url: "http://127.0.0.1:8080/m/bench.mpd".into(),
         issued_at: 1e12,
-        token_hash: token_hash(&text),
+        token_hash: token_hash(&token),
     };
-    let proof_text = proof::mint(&made, &viewer);
-    let session = SessionClaims { session: 1, server: 1, path_prefix: "/s/1/".into(), expires_at: 2e12 };
-    let told = mpd::ManifestParams {
+    let proof = proof::mint(&proof_claims, &viewer_key);
+    let session_claims =
+        SessionClaims { session: 1, server: 1, path_prefix: "/s/1/".into(), expires_at: 2e12 };
+    let manifest = mpd::ManifestParams {
         title: "bench",
         base_url: "http://127.0.0.1:9/s/1/token/".into(),
         location: "http://127.0.0.1:8/s/1.mpd".into(),
@@ -368,20 +393,23 @@
         segment_duration_ms: 500.0,
         rungs: vec![(0, 200.0), (1, 400.0), (2, 700.0), (3, 1_200.0)],
     };
-    let key = issuer.verifying_key();
+    let public_key = issuer_key.verifying_key();
     println!("parts, us each:");
-    time("check the viewer's token", || token::verify(&text, |_| Ok(key)).is_ok());
-    time("check its proof", || proof::verify(&proof_text).is_ok());
-    time("sign the session's token", || !token::mint_session(&session, b"f", &viewer).is_empty());
-    time("write the manifest", || mpd::to_xml(&told).is_ok());
+    print_mean_time("check the viewer's token", || token::verify(&token, |_| Ok(public_key)).is_ok());
+    print_mean_time("check its proof", || proof::verify(&proof).is_ok());
+    print_mean_time("sign the session's token", || {
+        !token::mint_session(&session_claims, b"f", &viewer_key).is_empty()
+    });
+    print_mean_time("write the manifest", || mpd::to_xml(&manifest).is_ok());
     Ok(())
 }
 
-fn time(name: &str, mut once: impl FnMut() -> bool) {
-    const TIMES: u32 = 2_000;
-    let began = Instant::now();
-    let good = (0..TIMES).filter(|_| once()).count();
-    let us = began.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES);
-    let fault = if good == TIMES as usize { "" } else { "  (failed)" };
-    println!("    {name:28} {us:6.1}{fault}");
+/// Runs an operation many times and prints its mean time in us.
+fn print_mean_time(name: &str, mut operation: impl FnMut() -> bool) {
+    const RUNS: u32 = 2_000;
+    let started_at = Instant::now();
+    let succeeded = (0..RUNS).filter(|_| operation()).count();
+    let mean_us = started_at.elapsed().as_secs_f64() * 1e6 / f64::from(RUNS);
+    let remark = if succeeded == RUNS as usize { "" } else { "  (failed)" };
+    println!("    {name:28} {mean_us:6.1}{remark}");
 }
