--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -1,5 +1,5 @@
-//! `walnutline bench path`: measures the time from request to answer through a front, and for the same boxes without a
-//! front, in one run; then the cost of the parts of a request.
+//! `walnutline bench path`: measures the time from request to answer through a front, and for the same boxes without
+//! a front, in one run; then the cost of the parts of a request.
 use crate::bench_catalogue;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -110,8 +110,8 @@
 }
 
 impl BenchFront {
-    /// Starts the boxes, a list server and the front, and waits until the front is warm. `extra_settings` is appended to
-    /// its settings document.
+    /// Starts the boxes, a list server and the front, and waits until the front is warm. `extra_settings` is appended
+    /// to its settings document.
     pub fn start(workers: u32, extra_settings: &str) -> Result<Self, String> {
         may::config().set_workers(2).set_stack_size(0x8000);
         let directory = Folder::new()?;
@@ -286,8 +286,8 @@
 /// Reads the answer to the last request; bytes that follow it stay in the buffer.
 type ReadAnswer<'a> = &'a (dyn Fn(&mut TcpStream, &mut Vec<u8>) -> Result<(), String> + Sync);
 
-/// Sends requests at a steady rate and measures the time to each answer in ns. The time counts from when a request was
-/// due, so that a delay of earlier answers is included.
+/// Sends requests at a steady rate and measures the time to each answer in ns. The time counts from when a request
+/// was due, so that a delay of earlier answers is included.
 fn run_load(
     rate: u32,
     seconds: u32,
--- a/crates/cli/src/bench_catalogue.rs
+++ b/crates/cli/src/bench_catalogue.rs
@@ -1,5 +1,5 @@
-//! `walnutline bench catalogue`: compares the catalogue's data structures with plain ones, measures what a new version
-//! costs, and measures a front's slowest answers while it loads a catalogue.
+//! `walnutline bench catalogue`: compares the catalogue's data structures with plain ones, measures what a new
+//! version costs, and measures a front's slowest answers while it loads a catalogue.
 use crate::bench::BenchFront;
 use hdrhistogram::Histogram;
 use roaring::RoaringBitmap;
@@ -156,8 +156,9 @@
     (find_ns, all_boxes_s)
 }
 
-/// Builds one structure and prints its bytes per title, the seconds to build it, the ns to find a title, the us to list
-/// the titles of a box, and the ns to find 20 titles by prefix. Two further names run other parts of the command.
+/// Builds one structure and prints its bytes per title, the seconds to build it, the ns to find a title, the us to
+/// list the titles of a box, and the ns to find 20 titles by prefix. Two further names run other parts of the
+/// command.
 fn measure_structure(structure: &str, titles: u32) -> Result<(), String> {
     let before = resident_bytes("self");
     let build_cost =
@@ -388,8 +389,8 @@
     Ok(())
 }
 
-/// Runs the publisher of the measurement, in a process of its own as its work must not be measured. It reads commands from
-/// standard input, one a line, and prints `ready` when it has prepared what each asks for.
+/// Runs the publisher of the measurement, in a process of its own as its work must not be measured. It reads commands
+/// from standard input, one a line, and prints `ready` when it has prepared what each asks for.
 fn run_publisher(titles: u32) -> Result<(), String> {
     let (small, large) = (sample_version(1_000), sample_version(titles));
     let (publisher, address) = Publisher::start(small).map_err(|e| e.to_string())?;
--- a/crates/cli/src/catalogue.rs
+++ b/crates/cli/src/catalogue.rs
@@ -1,5 +1,5 @@
-//! `walnutline catalogue`: loads, shows, verifies and compacts a stored catalogue. While a front has the store open, the
-//! commands that only read it fall back to its newest snapshot and print that they do.
+//! `walnutline catalogue`: loads, shows, verifies and compacts a stored catalogue. While a front has the store open,
+//! the commands that only read it fall back to its newest snapshot and print that they do.
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -65,8 +65,8 @@
     }
 }
 
-/// Prints the progress of a long operation to standard error: a line every second, or one line that is overwritten if it
-/// is a terminal.
+/// Prints the progress of a long operation to standard error: a line every second, or one line that is overwritten if
+/// it is a terminal.
 struct Progress {
     label: &'static str,
     started_at: Instant,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -28,7 +28,8 @@
 enum Command {
     /// Run a front until SIGTERM; SIGHUP reloads its keys from the settings document.
     Front(front::Args),
-    /// Run a front node on the operators' platform until SIGTERM, configured by NODE_NAME, NODE_LISTEN and NODE_CONFIG.
+    /// Run a front node on the operators' platform until SIGTERM, configured by NODE_NAME, NODE_LISTEN and
+    /// NODE_CONFIG.
     Node,
     /// Check a settings document and list every error with its position.
     Check { file: PathBuf },
--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -1,5 +1,5 @@
-//! A front whose catalogue changes while it serves requests, and the `walnutline catalogue` commands. A request's own list
-//! of holders always takes precedence over the catalogue.
+//! A front whose catalogue changes while it serves requests, and the `walnutline catalogue` commands. A request's own
+//! list of holders always takes precedence over the catalogue.
 mod support;
 
 use std::process::{Command, Output};
@@ -139,7 +139,8 @@
             let row = table.lines().find(|line| line.split_whitespace().take(2).eq([kind, server]));
             row.and_then(|line| line.split_whitespace().last()?.parse::<u32>().ok()).unwrap_or(0)
         };
-        // Requests named box 2, which is no holder in the catalogue, twice; they left out box 1 once and box 0 three times.
+        // Requests named box 2, which is no holder in the catalogue, twice; they left out box 1 once and box 0 three
+        // times.
         let counts =
             (count("unknown-holder", "2"), count("missing-holder", "1"), count("missing-holder", "0"));
         (counts == (2, 1, 3) && count("gone-holder", "1") >= 2 && count("unknown-title", "-") >= 1)
@@ -147,8 +148,8 @@
     });
 }
 
-/// Sends requests from three viewers while `during` runs, and checks that each is answered once and in time. Returns the
-/// number of requests and the result of `during`.
+/// Sends requests from three viewers while `during` runs, and checks that each is answered once and in time. Returns
+/// the number of requests and the result of `during`.
 fn with_requests<T>(front: &Front, during: impl FnOnce() -> T) -> (usize, T) {
     let (finished, count) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
@@ -215,8 +216,8 @@
     assert_eq!(deployment.rate("t59999"), 50);
 }
 
-/// The change stream sends wrong change numbers, or a change that cannot be applied: the catalogue must stay consistent
-/// and reach the published state.
+/// The change stream sends wrong change numbers, or a change that cannot be applied: the catalogue must stay
+/// consistent and reach the published state.
 #[test_case(&[12], (1, 2); "missing changes are requested")]
 #[test_case(&[8, 8, 7], (1, 1); "repeated changes are ignored")]
 #[test_case(&[14, 13, 12], (1, 2); "wrong order")]
@@ -286,8 +287,9 @@
     assert_eq!(lowest_rate(&without_catalogue, &viewer, "water"), 200, "the rate of the ladder");
 }
 
-/// With a value for `probes-each`, the holders of titles in demand are probed ahead of the next request. The decisions send
-/// no probes of their own here, and all requests name box 0 alone, so that a probe of box 2 can only be one sent ahead.
+/// With a value for `probes-each`, the holders of titles in demand are probed ahead of the next request. The
+/// decisions send no probes of their own here, and all requests name box 0 alone, so that a probe of box 2 can only
+/// be one sent ahead.
 #[test_case("0.2", true; "with a probe cost")]
 #[test_case("0", false; "without a probe cost")]
 fn holders_of_titles_in_demand_are_probed_ahead(probe_cost: &str, expects_probe: bool) {
--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -21,8 +21,8 @@
     format!("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Sends a SETUP on a new viewer connection and waits until the server has received it. Returns the viewer's connection
-/// and the server's.
+/// Sends a SETUP on a new viewer connection and waits until the server has received it. Returns the viewer's
+/// connection and the server's.
 fn start_setup(node: &TestNode, server: &mut ScriptedServer, id: u64) -> (Connection, Connection) {
     let mut viewer = Connection::new(node.connect_viewer());
     viewer.send(&setup_request(id));
@@ -101,8 +101,8 @@
     drop(viewer);
 }
 
-/// The viewer ends its request while its SETUP waits for a connection to the server, which is established late because
-/// the server's accept queue is full.
+/// The viewer ends its request while its SETUP waits for a connection to the server, which is established late
+/// because the server's accept queue is full.
 #[test_case(ViewerExit::Cancel; "cancels")]
 #[test_case(ViewerExit::Close; "closes")]
 #[test_case(ViewerExit::HalfClose; "half closes")]
@@ -200,8 +200,8 @@
     drop(new);
 }
 
-/// SIGTERM arrives when no request is open but answers are still buffered for a viewer that reads slowly: the viewer must
-/// receive all of them whole.
+/// SIGTERM arrives when no request is open but answers are still buffered for a viewer that reads slowly: the viewer
+/// must receive all of them whole.
 #[test]
 fn buffered_answers_are_sent_before_exit() {
     const BODY_BYTES: usize = 15_000;
@@ -269,8 +269,8 @@
     drop(queued);
 }
 
-/// A viewer ends its session, and the connection that carries the release to the server breaks before the server reads
-/// it.
+/// A viewer ends its session, and the connection that carries the release to the server breaks before the server
+/// reads it.
 #[test]
 fn release_lost_with_a_server_connection_is_sent_again() {
     let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -333,8 +333,8 @@
     );
 }
 
-/// A viewer's connection has closed, but the node has not read that far, when the viewer repeats its request on another
-/// connection. It must be answered there, once.
+/// A viewer's connection has closed, but the node has not read that far, when the viewer repeats its request on
+/// another connection. It must be answered there, once.
 #[test]
 fn request_repeated_on_another_connection_is_answered_there() {
     let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -357,8 +357,8 @@
     assert!(further_request.is_none(), "{further_request:?}");
 }
 
-/// As above, but before the SETUP has been sent to the server: it is delayed by the unread bytes of the first connection
-/// and must be sent for the second.
+/// As above, but before the SETUP has been sent to the server: it is delayed by the unread bytes of the first
+/// connection and must be sent for the second.
 #[test]
 fn request_repeated_before_its_setup_is_sent_is_answered() {
     let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -462,8 +462,8 @@
     assert_places_on(&node, listener, 1);
 }
 
-/// The name service restarts its serial numbers. A single lower serial is an older list and is ignored; nothing but lower
-/// serials for several seconds is a restart, and the list is applied.
+/// The name service restarts its serial numbers. A single lower serial is an older list and is ignored; nothing but
+/// lower serials for several seconds is a restart, and the list is applied.
 #[test]
 fn restarted_serial_numbers_are_accepted_in_time() {
     let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -482,8 +482,8 @@
     assert_places_on(&node, listener, 2);
 }
 
-/// The name service does not answer, and idle connections take all descriptors: requests must be served, signals obeyed,
-/// and the list applied as soon as it arrives.
+/// The name service does not answer, and idle connections take all descriptors: requests must be served, signals
+/// obeyed, and the list applied as soon as it arrives.
 #[test]
 fn idle_connections_during_a_discovery_outage_block_nothing() {
     let (mut node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -522,8 +522,8 @@
     drop(idle);
 }
 
-/// The new configuration changes more than the source of the server list: the node must log the changed paths and apply
-/// nothing of it.
+/// The new configuration changes more than the source of the server list: the node must log the changed paths and
+/// apply nothing of it.
 #[test]
 fn reload_that_needs_a_restart_is_not_applied() {
     let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -532,7 +532,8 @@
     let text = std::fs::read_to_string(&node.configuration_path).unwrap();
     let text =
         text.replace(&old.to_string(), &new.to_string()).replace("\"attempts_cap\":3", "\"attempts_cap\":1");
-    // Swaps two class names: if they were applied without the rest, viewers of one class would get the other's settings.
+    // Swaps two class names: if they were applied without the rest, viewers of one class would get the other's
+    // settings.
     let text = text
         .replace("board-loop", "x")
         .replace("council-notice", "board-loop")
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,5 @@
-//! The front node's binary on loopback: sessions, lost servers, bad input, overload, reload, shutdown and start errors.
+//! The front node's binary on loopback: sessions, lost servers, bad input, overload, reload, shutdown and start
+//! errors.
 #[path = "support/node.rs"]
 mod node;
 
@@ -71,16 +72,16 @@
 #[test_case(b"" ; "silence")]
 fn bad_input_gets_an_error_or_a_closed_connection_within_3_s(bytes: &[u8]) {
     let node = TestNode::start();
-    let mut bad = node.connect_viewer();
+    let mut malformed = node.connect_viewer();
     let started = Instant::now();
-    let _ = bad.write_all(bytes);
+    let _ = malformed.write_all(bytes);
     let mut buffer = [0; 16];
-    let n = bad.read(&mut buffer).unwrap_or(0);
+    let n = malformed.read(&mut buffer).unwrap_or(0);
     assert!(n == 0 || buffer.starts_with(b"RTSP/1.0 4"), "{:?}", &buffer[..n]);
     assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
-    let mut good = node.connect_viewer();
-    good.write_all(setup_request(1).as_bytes()).unwrap();
-    assert!(receive_first(&mut good).starts_with("RTSP/1.0 200"));
+    let mut viewer = node.connect_viewer();
+    viewer.write_all(setup_request(1).as_bytes()).unwrap();
+    assert!(receive_first(&mut viewer).starts_with("RTSP/1.0 200"));
 }
 
 /// A viewer that sends requests and reads no answers is closed once its backlog is full; others are served meanwhile.
@@ -95,9 +96,9 @@
     let pings = "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n".repeat(500);
     let flood =
         std::thread::spawn(move || (0..4_000).find_map(|_| flooding.write_all(pings.as_bytes()).err()));
-    let mut good = node.connect_viewer();
-    good.write_all(setup_request(1).as_bytes()).unwrap();
-    assert!(receive_first(&mut good).starts_with("RTSP/1.0 200"));
+    let mut viewer = node.connect_viewer();
+    viewer.write_all(setup_request(1).as_bytes()).unwrap();
+    assert!(receive_first(&mut viewer).starts_with("RTSP/1.0 200"));
     let error = flood.join().unwrap().expect("the node closes the connection").kind();
     use std::io::ErrorKind::{BrokenPipe, ConnectionReset};
     assert!(matches!(error, BrokenPipe | ConnectionReset), "{error:?}");
@@ -109,9 +110,9 @@
     let node = TestNode::start();
     let silent: Vec<TcpStream> = (0..150).map(|_| node.connect_viewer()).collect();
     for id in 1..=3 {
-        let mut good = node.connect_viewer();
-        good.write_all(setup_request(id).as_bytes()).unwrap();
-        assert!(receive_first(&mut good).starts_with("RTSP/1.0 200"));
+        let mut viewer = node.connect_viewer();
+        viewer.write_all(setup_request(id).as_bytes()).unwrap();
+        assert!(receive_first(&mut viewer).starts_with("RTSP/1.0 200"));
     }
     drop(silent);
 }
--- a/crates/cli/tests/path.rs
+++ b/crates/cli/tests/path.rs
@@ -325,8 +325,8 @@
     }
 }
 
-/// The front is stopped for 2 s while a box answers: it must use the answer that waits in its socket instead of treating
-/// the SETUP as timed out.
+/// The front is stopped for 2 s while a box answers: it must use the answer that waits in its socket instead of
+/// treating the SETUP as timed out.
 #[test]
 fn answer_received_while_the_front_was_stopped_is_used() {
     let deployment = start_deployment(&[BoxBehaviour::AcceptAfterMs(50)]);
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! Shutdown, reload and kill of the front node's process, and the requests that arrive meanwhile, with real connections.
+//! Shutdown, reload and kill of the front node's process, and the requests that arrive meanwhile, with real
+//! connections.
 #[path = "support/node.rs"]
 mod node;
 
@@ -35,8 +36,8 @@
     false
 }
 
-/// After SIGTERM the process is stopped for a while. Connections with requests enter the accept queue meanwhile, and the
-/// time in which requests are accepted passes: they must be answered all the same.
+/// After SIGTERM the process is stopped for a while. Connections with requests enter the accept queue meanwhile, and
+/// the time in which requests are accepted passes: they must be answered all the same.
 #[test]
 fn requests_in_the_accept_queue_are_answered_before_exit() {
     const REQUESTS: u64 = 30;
@@ -59,8 +60,8 @@
     assert!(node.exit_status_within(ms(5_000)).unwrap().success());
 }
 
-/// All descriptors are taken by viewers that wait for answers, and one more viewer with a request is still in the accept
-/// queue. It must be accepted and answered before the process exits.
+/// All descriptors are taken by viewers that wait for answers, and one more viewer with a request is still in the
+/// accept queue. It must be accepted and answered before the process exits.
 #[test]
 fn viewer_waiting_for_a_descriptor_is_answered_before_exit() {
     // The server has capacity for all sessions.
@@ -169,8 +170,8 @@
     assert!(node.exit_status_within(MAX_SHUTDOWN_TIME).expect("the process exits").success());
 }
 
-/// SIGHUP followed at once by SIGTERM: the new name service is queried, requests are answered, and the process exits in
-/// time.
+/// SIGHUP followed at once by SIGTERM: the new name service is queried, requests are answered, and the process exits
+/// in time.
 #[test]
 fn reload_followed_by_shutdown_does_both() {
     let mut node = TestNode::start();
@@ -215,23 +216,26 @@
     let mut node = TestNode::start();
     let address = node.address;
     let viewers: Vec<_> = (0..VIEWERS)
-        .map(|n| {
+        .map(|viewer_index| {
             std::thread::spawn(move || {
                 let mut viewer = Connection::new(std::net::TcpStream::connect(address).unwrap());
                 let mut answered = 0;
-                for k in 0..REQUESTS_EACH {
-                    let id = 1 + n * REQUESTS_EACH + k;
-                    match k % 6 {
+                for request_index in 0..REQUESTS_EACH {
+                    let id = 1 + viewer_index * REQUESTS_EACH + request_index;
+                    match request_index % 6 {
                         // Withdrawn in the same write.
                         0 => viewer.send(&(setup_request(id) + &teardown_request(id, None))),
                         // Refused for its unknown class.
                         1 => viewer.send(&setup_request(id).replace("board-loop", "nobody")),
                         _ => viewer.send(&setup_request(id)),
                     }
-                    answered += u64::from(k % 6 != 0 && is_answered(&mut viewer, id, RECEIVE_TIMEOUT));
+                    answered +=
+                        u64::from(request_index % 6 != 0 && is_answered(&mut viewer, id, RECEIVE_TIMEOUT));
                 }
                 // One more request, withdrawn at once.
-                viewer.send(&(setup_request(10_000 + n) + &teardown_request(10_000 + n, None)));
+                viewer.send(
+                    &(setup_request(10_000 + viewer_index) + &teardown_request(10_000 + viewer_index, None)),
+                );
                 // When the ping is answered, the answers to the withdrawn requests have been read.
                 viewer.send("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n");
                 while !viewer.receive().contains("CSeq: 3") {}
@@ -239,7 +243,7 @@
             })
         })
         .collect();
-    let answered: u64 = viewers.into_iter().map(|v| v.join().unwrap()).sum();
+    let answered: u64 = viewers.into_iter().map(|viewer| viewer.join().unwrap()).sum();
     let given_up = VIEWERS * (REQUESTS_EACH / 6 + 1);
     node.signal("-TERM");
     assert!(node.exit_status_within(MAX_SHUTDOWN_TIME).unwrap().success());
@@ -251,8 +255,8 @@
     assert_eq!(answered, VIEWERS * REQUESTS_EACH - VIEWERS * REQUESTS_EACH / 6);
 }
 
-/// The process is killed right after it accepted a connection. The new one must serve a write that holds a SETUP between
-/// two requests that take over sessions already placed on the server.
+/// The process is killed right after it accepted a connection. The new one must serve a write that holds a SETUP
+/// between two requests that take over sessions already placed on the server.
 #[test]
 fn process_after_a_kill_takes_over_sessions_and_serves_requests() {
     let (mut node, mut server) = TestNode::with_scripted_server(128, |text| text);
@@ -278,7 +282,9 @@
         &(response(200, 1, 3, "b=2\r\n") + &teardown_request(2, Some(16)) + &teardown_request(4, Some(41))),
     );
     let messages: Vec<String> = (0..3).map(|_| viewer.receive()).collect();
-    let has = |first: &str, second: &str| messages.iter().any(|m| m.contains(first) && m.contains(second));
+    let has = |first: &str, second: &str| {
+        messages.iter().any(|message| message.contains(first) && message.contains(second))
+    };
     assert!(has("RTSP/1.0 200", "0000000000000003"), "{messages:?}");
     assert!(has("cause=16", "0000000000000002") && has("cause=41", "0000000000000004"), "{messages:?}");
 }
@@ -308,7 +314,8 @@
         .map(|node| {
             let mut all: Vec<Connection> = (0..60).map(|_| Connection::new(node.connect_viewer())).collect();
             // The node may have closed some of them already, as descriptors run short.
-            all.iter_mut().for_each(|v| drop(std::io::Write::write_all(&mut v.stream, b"SETUP rtsp://")));
+            all.iter_mut()
+                .for_each(|viewer| drop(std::io::Write::write_all(&mut viewer.stream, b"SETUP rtsp://")));
             all
         })
         .collect();
@@ -339,7 +346,9 @@
         let mut viewer = Connection::new(fleet[0].connect_viewer());
         viewer.send(&setup_request(id));
         // Releases of the sessions that ended with the server come on the same connection.
-        let answer = std::iter::repeat_with(|| viewer.receive()).find(|m| m.starts_with("RTSP/1.0")).unwrap();
+        let answer = std::iter::repeat_with(|| viewer.receive())
+            .find(|message| message.starts_with("RTSP/1.0"))
+            .unwrap();
         std::thread::sleep(ms(100));
         answer.starts_with("RTSP/1.0 200")
     });
--- a/crates/cli/tests/sockets.rs
+++ b/crates/cli/tests/sockets.rs
@@ -16,8 +16,8 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).unwrap().count()
 }
 
-/// Guards against a descriptor leak for each connection to a server that is never established, whether or not an event
-/// reports its end. One connection in fifty is never established on the operators' platform.
+/// Guards against a descriptor leak for each connection to a server that is never established, whether or not an
+/// event reports its end. One connection in fifty is never established on the operators' platform.
 #[test]
 fn connections_never_established_leak_no_descriptor() {
     let (node, _server) = TestNode::with_scripted_server(128, |text| text);
@@ -67,8 +67,8 @@
     assert!(open_descriptors(&node) <= before, "{} after {before}", open_descriptors(&node));
 }
 
-/// The viewer ends its session at the server while the answer to its SETUP is on its way: the answer is still sent, and
-/// the log records the end.
+/// The viewer ends its session at the server while the answer to its SETUP is on its way: the answer is still sent,
+/// and the log records the end.
 #[test]
 fn session_end_that_crosses_the_answer_is_logged() {
     let (node, mut server) = TestNode::with_scripted_server(128, |text| text);
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -453,8 +453,8 @@
     stream
 }
 
-/// Sends a request on a new connection. A malformed request follows, which makes the front close the connection: by then
-/// no second response to the first request may have come.
+/// Sends a request on a new connection. A malformed request follows, which makes the front close the connection: by
+/// then no second response to the first request may have come.
 pub fn send_request(front: SocketAddr, request: &str) -> HttpResponse {
     let mut stream = connect(front);
     let started = Instant::now();
--- a/crates/cli/tests/support/node.rs
+++ b/crates/cli/tests/support/node.rs
@@ -85,7 +85,8 @@
             .replace("\"sockets\":256", "\"sockets\":128")
             .replace("127.0.0.1:5061", &server_address.to_string())
             .replace("127.0.0.1:1053", &name_service.local_addr().unwrap().to_string())
-            // The last change in the list removes s-00000003: under that name the second server goes, and one is left.
+            // The last change in the list removes s-00000003: under that name the second server goes, and one is
+            // left.
             .replace("\"instanceId\":\"s-00000002\",", "\"instanceId\":\"s-00000003\",");
         std::fs::write(&configuration_path, edit_configuration(text)).unwrap();
         let (process, address, log_lines) = spawn_node(&configuration_path, "127.0.0.1:0", max_descriptors);
@@ -152,7 +153,7 @@
     max_descriptors: usize,
 ) -> (Child, SocketAddr, Receiver<String>) {
     // The process gets no more descriptors than its configuration states.
-    let mut child = Command::new("sh")
+    let mut process = Command::new("sh")
         .args(["-c", &format!("ulimit -n {max_descriptors}; exec \"$0\" --json-log node")])
         .arg(env!("CARGO_BIN_EXE_walnutline"))
         .envs([("NODE_NAME", "n1"), ("NODE_LISTEN", listen), ("RUST_LOG", "info,may=off")])
@@ -160,7 +161,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut log = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut log = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
     // The node logs the port that the system chose.
     let address =
         log.find_map(|line| Some(line.split_once("\"listen\":\"")?.1.split('"').next()?.to_owned()));
@@ -168,7 +169,7 @@
     let (line_sender, log_lines) = channel();
     // The receiver may be dropped first, when a test ends before its node.
     std::thread::spawn(move || log.for_each(|line| drop(line_sender.send(line))));
-    (child, address, log_lines)
+    (process, address, log_lines)
 }
 
 impl Drop for TestNode {
@@ -198,7 +199,7 @@
         std::thread::spawn(move || answer_requests(stream, &requests, &mode));
     }
     drop(server);
-    connections.iter().for_each(|s| drop(s.shutdown(std::net::Shutdown::Both)));
+    connections.iter().for_each(|stream| drop(stream.shutdown(std::net::Shutdown::Both)));
 }
 
 fn answer_requests(
@@ -211,7 +212,8 @@
         if mode.load(Ordering::SeqCst) == SERVER_SILENT {
             continue;
         }
-        let session = message.lines().find(|l| l.starts_with("Session")).unwrap_or("Session: ").to_owned();
+        let session =
+            message.lines().find(|line| line.starts_with("Session")).unwrap_or("Session: ").to_owned();
         let answer = if message.starts_with("SETUP") {
             format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\n{session}\r\nContent-Length: 5\r\n\r\nb=2\r\n")
         } else if message.starts_with("OPTIONS") {
@@ -234,7 +236,7 @@
         if let Some(head_length) = unparsed.find("\r\n\r\n").map(|end| end + 4) {
             let body_length = unparsed[..head_length]
                 .lines()
-                .find_map(|l| l.strip_prefix("Content-Length: "))
+                .find_map(|line| line.strip_prefix("Content-Length: "))
                 .unwrap_or("0");
             let total_length = head_length + body_length.parse::<usize>().unwrap();
             if unparsed.len() >= total_length {
@@ -315,8 +317,8 @@
         ScriptedServer { listener, connections: Vec::new(), answered_probes: 0 }
     }
 
-    /// Reads all connections, answers probes, and returns the first other request with its connection. The server reads
-    /// that connection again only after `add_connection`.
+    /// Reads all connections, answers probes, and returns the first other request with its connection. The server
+    /// reads that connection again only after `add_connection`.
     pub fn receive_request(&mut self) -> (Connection, String) {
         self.receive_request_within(RECEIVE_TIMEOUT).expect("a request from the node")
     }
@@ -373,9 +375,9 @@
     (0..300).map(connect).collect()
 }
 
-/// The line of the Session header of a message, empty of an id if there is none.
+/// The Session header line of a message, or one without an id if the message has none.
 pub fn session_header(message: &str) -> &str {
-    message.lines().find(|l| l.starts_with("Session")).unwrap_or("Session: ")
+    message.lines().find(|line| line.starts_with("Session")).unwrap_or("Session: ")
 }
 
 /// A response of a server, for the session with this id.
