--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -388,7 +388,7 @@
     /// Marks an offered SETUP as sent and returns its bytes, with the session's current rung and the rest of
     /// the time-out; `None` if it is no longer wanted.
     pub fn send_setup(&mut self, id: SessionId, attempt: u32, now: Ms) -> Option<Vec<u8>> {
-        let rung = self.engine.sessions.sessions.get(&id).map_or(0, |s| s.rung);
+        let rung = self.engine.session_table.sessions.get(&id).map_or(0, |s| s.rung);
         let session = self.sessions.get_mut(&id)?;
         let Stage::Pending { request, setup: Some(setup), .. } = &mut session.stage else { return None };
         if setup.attempt != attempt || setup.sent || now >= session.setup_deadline {
--- a/crates/node/src/core/server_list.rs
+++ b/crates/node/src/core/server_list.rs
@@ -213,7 +213,8 @@
     /// Removes servers that are no longer listed once nothing refers to them.
     pub(super) fn remove_unused_servers(&mut self) {
         let Node { servers, servers_by_name, engine, .. } = self;
-        let in_use: BTreeSet<ServerId> = engine.sessions.sessions.values().filter_map(|s| s.server).collect();
+        let in_use: BTreeSet<ServerId> =
+            engine.session_table.sessions.values().filter_map(|s| s.server).collect();
         servers.retain(|id, s| {
             let keep = s.list_state != ServerState::Gone
                 || !s.connections.is_empty()
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -48,7 +48,7 @@
     harness.receive(viewer, &handed_over(9));
     assert_eq!(harness.take_written("RTSP/1.0 4"), None, "ANNOUNCE is not answered");
     let sessions: Vec<(u8, bool)> =
-        harness.node.engine.sessions.sessions.values().map(|s| (s.rung, s.playing)).collect();
+        harness.node.engine.session_table.sessions.values().map(|s| (s.rung, s.playing)).collect();
     assert_eq!(sessions, [(0, true), (3, true)]);
     harness.receive(server, &release_request(9, 16));
     assert_eq!(harness.take_written("cause=16").unwrap().0, viewer);
@@ -113,7 +113,7 @@
     harness.advance(30.0);
     let teardowns: String = (1..=100).map(teardown).collect();
     harness.receive(viewer, &teardowns);
-    assert_eq!(harness.node.engine.sessions.sessions.len(), 0);
+    assert_eq!(harness.node.engine.session_table.sessions.len(), 0);
     harness.written.clear();
     harness.advance(1_000.0);
     assert_eq!(harness.take_written("SETUP"), None);
@@ -982,7 +982,7 @@
             harness.advance(10.0);
             check_written(&mut harness, &mut observed)?;
         }
-        let unanswered = harness.node.engine.sessions.sessions.values().filter(|s| !s.answered).count();
+        let unanswered = harness.node.engine.session_table.sessions.values().filter(|s| !s.answered).count();
         prop_assert_eq!(unanswered, 0);
     }
 }
--- a/crates/sessions/src/engine.rs
+++ b/crates/sessions/src/engine.rs
@@ -37,7 +37,7 @@
     /// What the decisions know of servers, requests and retries.
     pub state: FrontState,
     /// The sessions of this front, from the request to their end.
-    pub sessions: SessionTable,
+    pub session_table: SessionTable,
     /// The earliest time that was requested by [`Action::CallAt`] and has not come yet.
     next_call_at: Option<Ms>,
 }
@@ -47,26 +47,26 @@
     pub fn new(settings: PolicySettings, seed: u64, now: Ms) -> Self {
         DecisionEngine {
             state: FrontState::new(settings, seed, now),
-            sessions: SessionTable::default(),
+            session_table: SessionTable::default(),
             next_call_at: None,
         }
     }
 
     /// Adds a viewer's request that was accepted, and places it.
     pub fn add_request(&mut self, id: SessionId, request: Request, now: Ms, actions: &mut Vec<Action>) {
-        self.state.add_request(&mut self.sessions, id, request, now);
-        let placement = self.state.place(&mut self.sessions, id, now);
+        self.state.add_request(&mut self.session_table, id, request, now);
+        let placement = self.state.place(&mut self.session_table, id, now);
         push_placement(id, placement, actions);
     }
 
     /// Adds a session that was playing already when this front started.
     pub fn add_running_session(&mut self, id: SessionId, request: Request, server: ServerId, now: Ms) {
-        self.state.add_running_session(&mut self.sessions, id, request, server, now);
+        self.state.add_running_session(&mut self.session_table, id, request, server, now);
     }
 
     /// A SETUP led to play: its session has its final answer.
     pub fn session_started(&mut self, id: SessionId, now: Ms) {
-        self.state.session_started(&mut self.sessions, id, now);
+        self.state.session_started(&mut self.session_table, id, now);
     }
 
     /// Records how a SETUP, or the session that came of it, ended. `is_over`: the viewer gets no further answer.
@@ -79,32 +79,32 @@
         actions: &mut Vec<Action>,
     ) {
         if is_over {
-            if let Some(session) = self.sessions.sessions.get_mut(&id) {
+            if let Some(session) = self.session_table.sessions.get_mut(&id) {
                 session.answered = true;
             }
         }
-        let placement = self.state.after_outcome(&mut self.sessions, id, outcome, now);
+        let placement = self.state.after_outcome(&mut self.session_table, id, outcome, now);
         push_placement(id, placement, actions);
     }
 
     /// The viewer left before an answer. The outcome of an outstanding SETUP must still be reported.
     pub fn viewer_left(&mut self, id: SessionId) {
-        self.state.viewer_left(&mut self.sessions, id);
+        self.state.viewer_left(&mut self.session_table, id);
     }
 
     /// Records the outcome of a probe. Call [`DecisionEngine::record_report`] with its load report first.
     pub fn probe_finished(&mut self, server: ServerId, outcome: SetupOutcome, now: Ms) {
-        self.state.probe_finished(&mut self.sessions, server, outcome, now);
+        self.state.probe_finished(&mut self.session_table, server, outcome, now);
     }
 
     /// Records a load report, its values in the order of the settings' report columns.
     pub fn record_report(&mut self, server: ServerId, values: &[f64], now: Ms) {
-        self.state.record_report(&mut self.sessions, server, values, now);
+        self.state.record_report(&mut self.session_table, server, values, now);
     }
 
     /// Records what another front reported.
     pub fn record_peer_reports(&mut self, reports: &[PeerReport], now: Ms) {
-        self.state.record_peer_reports(&mut self.sessions, reports, now);
+        self.state.record_peer_reports(&mut self.session_table, reports, now);
     }
 
     /// Confirms that the present process of a server was running at the time `since` already.
@@ -114,22 +114,22 @@
 
     /// Records the share of their rates that this front's sessions on a server were delivered.
     pub fn record_delivered_share(&mut self, server: ServerId, share: f64, now: Ms) {
-        self.state.record_delivered_share(&mut self.sessions, server, share, now);
+        self.state.record_delivered_share(&mut self.session_table, server, share, now);
     }
 
     /// Records the use of a server's link that the server announced.
     pub fn record_link_use(&mut self, server: ServerId, link_use: f64, now: Ms) {
-        self.state.record_link_use(&mut self.sessions, server, link_use, now);
+        self.state.record_link_use(&mut self.session_table, server, link_use, now);
     }
 
     /// Records the use of its rack's uplink that a server announced.
     pub fn record_uplink_use(&mut self, server: ServerId, uplink_use: f64, now: Ms) {
-        self.state.record_uplink_use(&mut self.sessions, server, uplink_use, now);
+        self.state.record_uplink_use(&mut self.session_table, server, uplink_use, now);
     }
 
     /// Records the rung that is in force for a session.
     pub fn set_rung(&mut self, id: SessionId, rung: u8) {
-        self.state.set_rung(&mut self.sessions, id, rung);
+        self.state.set_rung(&mut self.session_table, id, rung);
     }
 
     /// Records a changed entry of the server list.
@@ -160,7 +160,7 @@
     /// Does what is due; to be called once after the events of each moment. Returns whether held sessions were
     /// placed. Such a session may be held again, and the time or probe it then waits for comes out of the next call.
     pub fn process_due(&mut self, now: Ms, actions: &mut Vec<Action>) -> bool {
-        let due = self.state.due_actions(&mut self.sessions, now);
+        let due = self.state.due_actions(&mut self.session_table, now);
         actions.extend(due.rung_changes.into_iter().map(|(id, rung)| Action::SetRung { id, rung }));
         actions.extend(due.probes.into_iter().map(|server| Action::Probe { server }));
         if due.request_list {
@@ -168,7 +168,7 @@
         }
         let placed = !due.sessions_to_place.is_empty();
         for id in due.sessions_to_place {
-            let placement = self.state.place(&mut self.sessions, id, now);
+            let placement = self.state.place(&mut self.session_table, id, now);
             push_placement(id, placement, actions);
         }
         if !due.peer_reports.is_empty() {
--- a/crates/sessions/src/session_manager.rs
+++ b/crates/sessions/src/session_manager.rs
@@ -151,7 +151,7 @@
     pub fn playing_session(&self, id: SessionId) -> Option<(ServerId, u8, Arc<T>)> {
         let s = self.sessions.get(&id)?;
         let (server, _) = s.playing.as_ref()?;
-        Some((*server, self.engine.sessions.sessions.get(&id)?.rung, s.context.clone()))
+        Some((*server, self.engine.session_table.sessions.get(&id)?.rung, s.context.clone()))
     }
 
     // ---- additional probes ----
@@ -411,7 +411,7 @@
             connection.add_session(session, id);
         }
         self.engine.session_started(id, now);
-        let rung = self.engine.sessions.sessions.get(&id).map_or(0, |s| s.rung);
+        let rung = self.engine.session_table.sessions.get(&id).map_or(0, |s| s.rung);
         self.io_actions.push(IoAction::Answer { id, context, answer: Answer::Playing { server, rung } });
     }
 
@@ -519,7 +519,7 @@
     fn send_numbered(&mut self, server: ServerId, conn: u64, cseq: u32, kind: RequestKind, deadline: Ms) {
         let request = match kind {
             RequestKind::Setup(id) => {
-                let rung = self.engine.sessions.sessions.get(&id).map_or(0, |s| s.rung);
+                let rung = self.engine.session_table.sessions.get(&id).map_or(0, |s| s.rung);
                 let Some(s) = self.sessions.get_mut(&id) else { return };
                 s.setup = Some(OutstandingSetup { server, cseq: Some(cseq), deadline });
                 ServerRequest::Setup { id, context: s.context.clone(), rung }
