--- a/src/api.rs
+++ b/src/api.rs
@@ -17,7 +17,7 @@
     NoAction,
 }
 
-/// How a SETUP, or the session that resulted from it, ended.
+/// How a SETUP, the session that resulted from it, or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SetupOutcome {
     /// As intended: a session came to its end, or a probe was answered.
@@ -54,7 +54,7 @@
     pub server: ServerId,
     /// Streams that run or are being set up, as a share of the server's maximum.
     pub stream_use: f64,
-    /// Demand on the server's link over its capacity.
+    /// Demand on the server's link as a share of its capacity.
     pub link_use: f64,
     /// Time since the server reported this.
     pub age: Ms,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -36,15 +36,17 @@
 const RUNG_HOLD_DELAYS: f64 = 3.0;
 /// A smaller delivered share shows an overloaded link or uplink.
 const SUFFICIENT_SHARE: f64 = 0.98;
-/// Most that probes may cost, as a share of the utility of sessions: each session pays for that many.
+/// Most that probes may cost, as a share of the utility of sessions: each session pays for as many as that
+/// allows.
 const PROBE_COST_SHARE: f64 = 0.04;
-/// Interval between probes of a server, divided by the number of this front's sessions there: sessions pay
-/// for probes.
+/// Interval between probes of a server that has one session of this front. With more sessions it is divided
+/// by their number, as sessions pay for probes.
 const PROBE_INTERVAL: Ms = 25_000.0;
-/// The first probe of a server comes within this time.
+/// The first probe of a server comes at a random moment within this time. Where fronts exchange reports, it is
+/// deferred by as much again.
 const FIRST_PROBE_WITHIN: Ms = 1_500.0;
 /// After a step down, reports are ignored for the measurement delay and this many further delays: they show
-/// the time before it.
+/// the load before it.
 const SETTLE_DELAYS: f64 = 1.2;
 /// Weight of a report against the value expected from earlier ones: single reports are noisy.
 const REPORT_WEIGHT: f64 = 0.5;
@@ -55,13 +57,14 @@
 /// Share of the remaining start target that the first SETUP may take where another could follow.
 const FIRST_SETUP_SHARE: f64 = 0.45;
 /// Least time-out of a first SETUP, as a share of the start target: a shorter one would cut off healthy
-/// servers.
+/// servers. A first SETUP that is left with less may take all of the viewer's remaining time.
 const MIN_TIMEOUT_SHARE: f64 = 0.1;
 /// For how long a server is set aside after its first failure; doubled with each consecutive one.
 const EXCLUSION_BASE: Ms = 1_000.0;
+/// Longest time for which a server is set aside.
 const EXCLUSION_MAX: Ms = 8_000.0;
-/// `EXCLUSION_BASE` where fronts exchange reports: a server's recovery is reported sooner than a probe of
-/// this front would show it.
+/// `EXCLUSION_BASE` where fronts exchange reports. It is longer, as another front reports a server's recovery
+/// sooner than a probe of this front would show it.
 const EXCLUSION_BASE_WITH_PEERS: Ms = 4_000.0;
 /// Share of a cold server's budget that all fronts together may use.
 const COLD_BUDGET_SHARE: f64 = 0.9;
@@ -84,8 +87,8 @@
 /// arrives in time.
 const LIST_POLL_SHARE: f64 = 0.8;
 const MAX_LIST_POLL_INTERVAL: Ms = 500.0;
-/// The first watch call comes within this share of the time after which the list is assumed known or
-/// measurements expire.
+/// The first watch call comes within this share of the time after which the list is assumed known, or of
+/// `MEASUREMENT_LIFETIME` if that is shorter.
 const FIRST_LIST_CALL_SHARE: f64 = 0.25;
 /// Mean wait after a failed watch call, as a share of the same time; doubled with each consecutive failure.
 const LIST_RETRY_SHARE: f64 = 0.05;
@@ -133,14 +136,14 @@
         }
     }
 
-    /// Records the demand on a server's link over its capacity.
+    /// Records the demand on a server's link as a share of its capacity.
     pub fn record_link_use(&mut self, table: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
         if self.fleet.servers.contains_key(&server) {
             self.record_use(table, SharedLink::Link(server), use_, now);
         }
     }
 
-    /// Records the demand on the uplink of a server's rack over its capacity.
+    /// Records the demand on the uplink of a server's rack as a share of its capacity.
     pub fn record_uplink_use(&mut self, table: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
         if let Some(rack) = self.rack_of(server) {
             self.record_use(table, SharedLink::Uplink(rack), use_, now);
@@ -296,8 +299,8 @@
 
     // ---- measurements of links ----
 
-    /// Records a report of a link's use. It is about as old as a delivered share, so the load that this front
-    /// has added meanwhile is added to it.
+    /// Records a report of a link's use. The value is about as old as the measurement delay, so the load that
+    /// this front has added since then is added to it.
     fn record_use(&mut self, table: &mut SessionTable, link: SharedLink, use_: f64, now: Ms) {
         let on_link = |s: &Session| self.uses_link(s, link);
         let growth = table.growth_since(&self.settings, on_link, now - self.settings.measurement_delay)
@@ -351,9 +354,9 @@
         }
     }
 
-    /// Records the share of their rates that sessions at a server received: demand on its link exceeds the
-    /// capacity by the inverse. Where the uplink is the bottleneck, every server of the rack reports it for
-    /// itself.
+    /// Records the share of their rates that sessions at a server received: the demand on its link is the
+    /// capacity divided by this share. Where the uplink is the bottleneck, every server of the rack reports it
+    /// for itself.
     pub fn record_delivered_share(
         &mut self,
         table: &mut SessionTable,
@@ -365,7 +368,7 @@
             return;
         }
         let demand = 1.0 / share.max(MIN_DELIVERED_SHARE);
-        // A sufficient share shows no more than that an earlier shortage is over.
+        // A sufficient share does not show how much of the link is free, only that an earlier shortage is over.
         if share < SUFFICIENT_SHARE || self.link_use(&table.loads(&self.settings), server) > demand {
             self.merge_measurement(table, SharedLink::Link(server), demand, 1.0, now, now);
         }
@@ -431,7 +434,7 @@
         let give_up = self.give_up(session);
         let time_left = session.viewer_deadline - now;
         let title_limit_reached = group.max_sessions_per_title > 0
-            && table.sessions_of_title(session.title, session.group) >= group.max_sessions_per_title;
+            && table.title_session_count(session.title, session.group) >= group.max_sessions_per_title;
         let setups_used_up = session.setup_count >= self.settings.max_setups
             || session.setup_count > 0 && !self.retry_budget_left(now);
         if time_left <= ANSWER_MARGIN || title_limit_reached || setups_used_up {
@@ -656,7 +659,7 @@
     }
 
     /// Use of a rack's uplink: the last measurement, else the mean of the measured uplinks, else the sum of
-    /// the loads of the rack's links over the uplink's stated capacity.
+    /// the loads of the rack's links as a share of the uplink's stated capacity.
     fn uplink_use(&self, loads: &Loads, rack: RackId) -> f64 {
         let uplink = SharedLink::Uplink(rack);
         // Measurements expire, as a full rack that is avoided is not measured again.
@@ -944,8 +947,9 @@
 
     /// How long until a SETUP may go to a server that may be cold; `None` if it may go now. All fronts share
     /// the server's budget equally if that gives each at least one SETUP in a window. Else the server is left
-    /// alone until it is warm, as no front knows what the others send. The budget counts on the warmth at the
-    /// start only, as later warmth is not certain. A front that has just started counts its share as spent.
+    /// alone until it is warm, as no front knows what the others send. The budget is computed from the
+    /// capacity at the start only, as how it grows afterwards is not certain. A front that has just started
+    /// counts its share as spent.
     /// Shares are spaced by the window plus the connect time-out, as a SETUP may wait for its connection. It
     /// does harm where much of a fleet is cold at once: the other servers must carry all.
     fn cold_start_wait(&self, server: &ServerId, now: Ms) -> Option<Ms> {
@@ -1056,11 +1060,11 @@
 }
 
 fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
-    let (sum, n) = values.fold((0.0, 0u32), |(sum, n), x| (sum + x, n + 1));
-    (n > 0).then(|| sum / n as f64)
+    let (sum, count) = values.fold((0.0, 0u32), |(sum, count), value| (sum + value, count + 1));
+    (count > 0).then(|| sum / count as f64)
 }
 
-/// Reports may contain any value. Implausible ones are ignored.
-fn is_plausible(x: f64) -> bool {
-    x.is_finite() && (0.0..1e4).contains(&x)
+/// Whether a reported value can be right. Reports may contain any value; implausible ones are ignored.
+fn is_plausible(value: f64) -> bool {
+    value.is_finite() && (0.0..1e4).contains(&value)
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -61,7 +61,7 @@
     pub entry: ListEntry,
     /// The largest weight listed so far.
     pub largest_weight: f64,
-    /// Demand on the link over its capacity.
+    /// Demand on the link as a share of its capacity.
     pub link_use: Option<Measurement>,
     /// Streams that run or are being set up.
     pub streams: Option<Measurement>,
@@ -114,7 +114,7 @@
 /// What a front knows of a rack's uplink.
 #[derive(Debug, Clone, Default)]
 pub struct Rack {
-    /// Demand on the uplink over its capacity.
+    /// Demand on the uplink as a share of its capacity.
     pub uplink_use: Option<Measurement>,
     /// Sessions on the uplink were stepped down, and reports until then do not show it yet.
     pub ignore_reports_until: Ms,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers, each kind with a type of its own. Their values carry no meaning beyond equality and order.
+//! Identifiers and indexes, each kind with a type of its own. The values of identifiers carry no meaning beyond
+//! equality and order; only the number of a cell determines its rack and the titles that it holds.
 
 macro_rules! id {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
--- a/src/sessions.rs
+++ b/src/sessions.rs
@@ -99,7 +99,7 @@
     }
 
     /// Number of sessions of one title and service group, including those with a pending SETUP.
-    pub fn sessions_of_title(&self, title: TitleId, group: GroupIndex) -> u32 {
+    pub fn title_session_count(&self, title: TitleId, group: GroupIndex) -> u32 {
         let same = |s: &&Session| s.server.is_some() && s.title == title && s.group == group;
         self.sessions.values().filter(same).count() as u32
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -72,9 +72,9 @@
 pub enum ReportColumn {
     /// Streams that run or are being set up.
     Streams,
-    /// Demand on the server's link over its capacity.
+    /// Demand on the server's link as a share of its capacity.
     Link,
-    /// Demand on the rack's uplink over its capacity.
+    /// Demand on the rack's uplink as a share of its capacity.
     Uplink,
     /// Not used.
     Other,
@@ -122,7 +122,8 @@
     pub weight_kind: WeightKind,
     /// Capacity of a server's link, for each unit of its weight.
     pub link_kb_per_s_per_weight: f64,
-    /// Capacity of a rack's uplink; infinite if not stated.
+    /// Capacity of a rack's uplink; infinite if not stated, as it is then assumed not to limit the servers'
+    /// links.
     pub uplink_kb_per_s: f64,
     /// How old delivered shares and load reports are when they arrive.
     pub measurement_delay: Ms,
@@ -216,9 +217,9 @@
             return Err("family_info.level_kb: a ladder and a service group are needed".into());
         }
         let highest = rung_kb_per_s.len() as u8 - 1;
-        for g in &mut service_groups {
-            g.highest_rung = g.highest_rung.min(highest);
-            g.lowest_rung = g.lowest_rung.min(g.highest_rung);
+        for group in &mut service_groups {
+            group.highest_rung = group.highest_rung.min(highest);
+            group.lowest_rung = group.lowest_rung.min(group.highest_rung);
         }
         let columns = values.text("reporting.columns").unwrap_or("");
         // Without x0, `util` is the use of the link, though capped at 1.
@@ -312,11 +313,11 @@
     }
 
     fn required_above_zero(&self, path: &str) -> Result<f64, String> {
-        let n = self.required(path)?;
-        if n > 0.0 && f64::is_finite(n) {
-            return Ok(n);
+        let value = self.required(path)?;
+        if value > 0.0 && f64::is_finite(value) {
+            return Ok(value);
         }
-        Err(format!("{path}: {n} is out of range"))
+        Err(format!("{path}: {value} is out of range"))
     }
 
     /// A value for which zero means the same as its absence.
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use crate::settings::PolicySettings;
 use std::collections::VecDeque;
 
-/// Estimate of what the other fronts carry on a server on average.
+/// Estimate of what the other fronts carry on a server on average, as it was last computed.
 #[derive(Debug, Default)]
 pub struct ForeignLoad {
     pub streams: f64,
@@ -79,13 +79,13 @@
     /// of the old one counts.
     pub fn update_server(&mut self, entry: ListEntry) {
         match self.fleet.servers.get_mut(&entry.id) {
-            Some(s) if s.entry.started_at == entry.started_at => {
-                s.largest_weight = s.largest_weight.max(entry.weight);
-                s.entry = entry;
+            Some(record) if record.entry.started_at == entry.started_at => {
+                record.largest_weight = record.largest_weight.max(entry.weight);
+                record.entry = entry;
             }
-            Some(s) => {
-                let recent_setups = std::mem::take(&mut s.recent_setups);
-                *s = Server { recent_setups, ..Server::new(entry) };
+            Some(record) => {
+                let recent_setups = std::mem::take(&mut record.recent_setups);
+                *record = Server { recent_setups, ..Server::new(entry) };
             }
             None => {
                 self.fleet.servers.insert(entry.id, Server::new(entry));
@@ -121,9 +121,9 @@
         server: ServerId,
         now: Ms,
     ) {
-        let s = self.new_session(request, now);
-        let s = Session { server: Some(server), playing: true, answered: true, setup_count: 1, ..s };
-        table.sessions.insert(id, s);
+        let new = self.new_session(request, now);
+        let running = Session { server: Some(server), playing: true, answered: true, setup_count: 1, ..new };
+        table.sessions.insert(id, running);
     }
 
     fn new_session(&mut self, request: Request, now: Ms) -> Session {
@@ -165,9 +165,9 @@
 
     /// Records that the viewer left before it had an answer.
     pub fn viewer_left(&mut self, table: &mut SessionTable, id: SessionId) {
-        if let Some(s) = table.sessions.get_mut(&id) {
-            (s.answered, s.held_until) = (true, None);
-            if s.server.is_none() {
+        if let Some(session) = table.sessions.get_mut(&id) {
+            (session.answered, session.held_until) = (true, None);
+            if session.server.is_none() {
                 table.sessions.remove(&id);
             }
         }
