--- a/crates/sessions/src/connection.rs
+++ b/crates/sessions/src/connection.rs
@@ -30,7 +30,7 @@
 /// State of the connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ConnectionState {
-    /// There is none, and no attempt is made before this time unless a probe is to be sent.
+    /// There is none, and none is opened before this time unless a probe is to be sent.
     Idle { until: Ms },
     /// One is being opened.
     Connecting { conn: u64 },
@@ -43,7 +43,7 @@
 pub enum SendResult {
     /// It goes out on this connection under this sequence number.
     Sent { conn: u64, cseq: u32 },
-    /// It waits for the connection that is being opened, under this ticket.
+    /// It waits for the connection that is being opened; the ticket identifies it until it is sent.
     Queued { ticket: u64 },
     /// There is no connection, and none is being opened.
     NotConnected,
@@ -68,7 +68,7 @@
     pub state: ConnectionState,
     /// Delay before the next attempt to connect.
     pub backoff: Backoff,
-    /// Since when the box has been silent while it had requests to answer.
+    /// When the box was last heard from, or was last found to have no request to answer.
     pub silent_since: Ms,
     /// Number of the latest connection.
     last_conn: u64,
@@ -77,6 +77,7 @@
     pending: BTreeMap<u32, PendingRequest>,
     /// Requests that wait for the connection to open, with their tickets.
     queued: Vec<(u64, RequestKind)>,
+    /// Ticket of the request that was queued last.
     last_ticket: u64,
     /// Playing sessions by the box's names for them.
     sessions: BTreeMap<String, SessionId>,
--- a/crates/sessions/src/engine.rs
+++ b/crates/sessions/src/engine.rs
@@ -64,7 +64,7 @@
         self.state.add_running_session(&mut self.session_table, id, request, server, now);
     }
 
-    /// A SETUP led to play: its session has its final answer.
+    /// A SETUP succeeded: its session plays and has its final answer.
     pub fn session_started(&mut self, id: SessionId, now: Ms) {
         self.state.session_started(&mut self.session_table, id, now);
     }
@@ -107,7 +107,7 @@
         self.state.record_peer_reports(&mut self.session_table, reports, now);
     }
 
-    /// Confirms that the present process of a server was running at the time `since` already.
+    /// Records that the current process of a server was already running at the time `since`.
     pub fn confirm_alive(&mut self, server: ServerId, since: Ms) {
         self.state.confirm_alive(server, since);
     }
@@ -158,7 +158,7 @@
     }
 
     /// Does what is due; to be called once after the events of each moment. Returns whether held sessions were
-    /// placed. Such a session may be held again, and the time or probe it then waits for comes out of the next call.
+    /// placed. Such a session may be held again; the next call then returns the time or probe that it waits for.
     pub fn process_due(&mut self, now: Ms, actions: &mut Vec<Action>) -> bool {
         let due = self.state.due_actions(&mut self.session_table, now);
         actions.extend(due.rung_changes.into_iter().map(|(id, rung)| Action::SetRung { id, rung }));
--- a/crates/sessions/src/session_manager.rs
+++ b/crates/sessions/src/session_manager.rs
@@ -121,8 +121,8 @@
     /// The viewer left before its answer reached it. An outstanding SETUP is abandoned. A session that plays already,
     /// with its answer still on the way, is torn down.
     pub fn viewer_left(&mut self, id: SessionId, now: Ms) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        if let Some((server, session)) = s.playing.clone() {
+        let Some(managed) = self.sessions.get_mut(&id) else { return };
+        if let Some((server, session)) = managed.playing.clone() {
             if let Some(conn) =
                 self.connections.get_mut(&server).and_then(|c| c.remove_session(&session).and(c.open_conn()))
             {
@@ -131,8 +131,8 @@
             self.session_ended(id, SetupOutcome::Withdrawn, now);
             return self.run_engine_actions(now);
         }
-        s.awaits_answer = false;
-        let setup = s.setup.take();
+        managed.awaits_answer = false;
+        let setup = managed.setup.take();
         self.engine.viewer_left(id);
         if let Some(setup) = setup {
             if let Some(connection) = self.connections.get_mut(&setup.server) {
@@ -149,9 +149,9 @@
 
     /// Where a session plays and at which rung, for a renewed manifest; `None` once it has ended.
     pub fn playing_session(&self, id: SessionId) -> Option<(ServerId, u8, Arc<T>)> {
-        let s = self.sessions.get(&id)?;
-        let (server, _) = s.playing.as_ref()?;
-        Some((*server, self.engine.session_table.sessions.get(&id)?.rung, s.context.clone()))
+        let managed = self.sessions.get(&id)?;
+        let (server, _) = managed.playing.as_ref()?;
+        Some((*server, self.engine.session_table.sessions.get(&id)?.rung, managed.context.clone()))
     }
 
     // ---- additional probes ----
@@ -159,12 +159,12 @@
     /// When the use of a box's link was last measured. `None` for a box that is not ready, or that the engine has
     /// excluded: the engine probes those itself.
     pub fn link_measured_at(&self, server: ServerId) -> Option<Ms> {
-        let s = self.engine.state.fleet.servers.get(&server)?;
-        (s.entry.state == ServerState::Ready && s.failures == 0)
-            .then(|| s.link_use.map_or(Ms::NEG_INFINITY, |measurement| measurement.measured_at))
+        let record = self.engine.state.fleet.servers.get(&server)?;
+        (record.entry.state == ServerState::Ready && record.failures == 0)
+            .then(|| record.link_use.map_or(Ms::NEG_INFINITY, |measurement| measurement.measured_at))
     }
 
-    /// Probes boxes in addition to those that the engine probes; the engine gets the answers all the same.
+    /// Probes boxes in addition to those that the engine probes; the engine gets the answers to these too.
     pub fn probe_servers(&mut self, servers: Vec<ServerId>, now: Ms) {
         servers.into_iter().for_each(|server| self.probe(server, now));
         self.run_engine_actions(now);
@@ -196,7 +196,7 @@
     }
 
     /// A box with another address is another process. What was outstanding at the old one ends before the engine
-    /// gets the new entry; otherwise the new process would be charged with the failures of the old one.
+    /// gets the new entry; otherwise the failures of the old process would count against the new one.
     fn close_if_moved(&mut self, endpoint: &ServerEndpoint, now: Ms) {
         let server = endpoint.entry.id;
         let Some(connection) =
@@ -404,9 +404,10 @@
     // ---- sessions ----
 
     fn session_started(&mut self, id: SessionId, server: ServerId, session: String, now: Ms) {
-        let Some(s) = self.sessions.get_mut(&id) else { return };
-        (s.setup, s.playing, s.awaits_answer) = (None, Some((server, session.clone())), false);
-        let context = s.context.clone();
+        let Some(managed) = self.sessions.get_mut(&id) else { return };
+        (managed.setup, managed.playing, managed.awaits_answer) =
+            (None, Some((server, session.clone())), false);
+        let context = managed.context.clone();
         if let Some(connection) = self.connections.get_mut(&server) {
             connection.add_session(session, id);
         }
@@ -419,8 +420,8 @@
     fn request_ended(&mut self, server: ServerId, kind: RequestKind, outcome: SetupOutcome, now: Ms) {
         match kind {
             RequestKind::Setup(id) => {
-                if let Some(s) = self.sessions.get_mut(&id) {
-                    s.setup = None;
+                if let Some(managed) = self.sessions.get_mut(&id) {
+                    managed.setup = None;
                     self.engine.after_outcome(id, outcome, false, now, &mut self.engine_actions);
                 }
             }
@@ -431,18 +432,18 @@
 
     /// Removes a session that played and reports how it ended.
     fn session_ended(&mut self, id: SessionId, outcome: SetupOutcome, now: Ms) {
-        let Some(s) = self.sessions.remove(&id) else { return };
+        let Some(managed) = self.sessions.remove(&id) else { return };
         self.engine.after_outcome(id, outcome, true, now, &mut self.engine_actions);
-        if let Some((server, _)) = s.playing {
+        if let Some((server, _)) = managed.playing {
             self.close_if_unused(server);
         }
     }
 
     /// Removes a session that was not set up and answers its viewer.
     fn answer_without_session(&mut self, id: SessionId, answer: Answer) {
-        let Some(s) = self.sessions.remove(&id) else { return };
-        if s.awaits_answer {
-            self.io_actions.push(IoAction::Answer { id, context: s.context, answer });
+        let Some(managed) = self.sessions.remove(&id) else { return };
+        if managed.awaits_answer {
+            self.io_actions.push(IoAction::Answer { id, context: managed.context, answer });
         }
     }
 
@@ -460,8 +461,7 @@
                     self.answer_without_session(id, Answer::Busy { retry_after })
                 }
                 Action::TornDown { id } => self.answer_without_session(id, Answer::TornDown),
-                // Fronts of this kind do not communicate with each other.
-                // The list comes by its own event stream.
+                // Live fronts do not send each other messages, and the list comes by its own event stream.
                 Action::SendPeerReports(_) | Action::RequestList => {}
                 Action::Log(line) => self.io_actions.push(IoAction::Log(line)),
                 Action::CallAt(at) => self.engine_call_at = at,
@@ -485,8 +485,8 @@
             }
             SendResult::Queued { ticket } => {
                 self.timers.schedule(deadline, Timer::Queued { server, ticket });
-                if let Some(s) = self.sessions.get_mut(&id) {
-                    s.setup = Some(OutstandingSetup { server, cseq: None, deadline });
+                if let Some(managed) = self.sessions.get_mut(&id) {
+                    managed.setup = Some(OutstandingSetup { server, cseq: None, deadline });
                 }
             }
             SendResult::NotConnected => {
@@ -520,9 +520,9 @@
         let request = match kind {
             RequestKind::Setup(id) => {
                 let rung = self.engine.session_table.sessions.get(&id).map_or(0, |s| s.rung);
-                let Some(s) = self.sessions.get_mut(&id) else { return };
-                s.setup = Some(OutstandingSetup { server, cseq: Some(cseq), deadline });
-                ServerRequest::Setup { id, context: s.context.clone(), rung }
+                let Some(managed) = self.sessions.get_mut(&id) else { return };
+                managed.setup = Some(OutstandingSetup { server, cseq: Some(cseq), deadline });
+                ServerRequest::Setup { id, context: managed.context.clone(), rung }
             }
             RequestKind::Probe => ServerRequest::Probe,
             RequestKind::Other => return,
@@ -617,8 +617,8 @@
             .schedule(connection.silent_since + self.timeouts.max_silence, Timer::Silence { server, conn });
     }
 
-    /// Closes a connection whose other end vanished without closing it: requests stay unanswered, and nothing else
-    /// would ever end it. A box that stalls for longer than the limit loses its sessions.
+    /// Closes a connection on which requests stay unanswered for too long. Guards against a box that vanished without
+    /// closing it: nothing else would ever end the connection. A box that stalls for longer loses its sessions.
     fn check_silence(&mut self, server: ServerId, conn: u64, now: Ms) {
         let Some(connection) = self.connections.get_mut(&server).filter(|c| c.open_conn() == Some(conn))
         else {
--- a/crates/sessions/src/stall_detector.rs
+++ b/crates/sessions/src/stall_detector.rs
@@ -7,6 +7,8 @@
 /// How long time-outs are deferred after a stall, while what the sockets already hold is read.
 const TIMEOUT_GRACE: Ms = 40.0;
 
+/// Detects stalls by late wake-ups, and defers time-outs after them.
+///
 /// After a stall, answers that arrived in time are still unread in the sockets while every time-out is due. If the
 /// time-outs fired at once, they would exclude healthy boxes and send further SETUPs for sessions that were answered.
 /// So time-outs are deferred for a moment. The deadline of a viewer is not.
