--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -64,7 +64,7 @@
 }
 
 impl Host {
-    /// Handles one batch and returns the reply, or the fault of the batch with its position.
+    /// Handles one batch and returns the reply. An error states what is wrong with the batch, and at which byte.
     pub fn handle_batch(&mut self, frame: &Frame) -> Result<Vec<u8>, String> {
         let mut reply = Reply::new(frame.index);
         let mut called = Vec::new();
@@ -253,7 +253,7 @@
                         announcement::RUNG => engine.set_rung(id, value as u8),
                         announcement::LINK_USE => engine.record_link_use(server, value, now),
                         announcement::UPLINK_USE => engine.record_uplink_use(server, value, now),
-                        _ => return Err(format!("unknown kind of note {kind}")),
+                        _ => return Err(format!("unknown kind of announcement {kind}")),
                     }
                 }
             }
@@ -357,7 +357,7 @@
         0 => ServerState::Draining,
         1 => ServerState::Ready,
         2 => ServerState::Gone,
-        other => return Err(format!("byte {}: unknown availability {other}", reader.position - 1)),
+        other => return Err(format!("byte {}: unknown server state {other}", reader.position - 1)),
     };
     let (weight, started_at) = (reader.f32()? as f64, reader.f64()?);
     Ok(ListEntry {
@@ -386,7 +386,7 @@
     #[test_case(&[3, 1, 0] => "batch 5: record 0 at byte 20: byte 21: 4 bytes wanted, 2 left"; "cut short")]
     #[test_case(&[2, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 4, 0, 2]
         => "batch 5: record 0 at byte 20: list 4 was never sent"; "list never sent")]
-    fn the_fault_of_a_batch_is_named_with_its_position(record: &[u8]) -> String {
+    fn an_error_states_the_batch_and_the_position_in_it(record: &[u8]) -> String {
         let bytes = [&[0; HEADER_BYTES], record].concat();
         Host::default().handle_batch(&Frame { index: 5, now: 0.0, record_count: 1, bytes }).unwrap_err()
     }
@@ -403,7 +403,7 @@
         host.handle_batch(&frame).unwrap().windows(6).any(|window| window == [10, 1, 0, 0, 0, 1])
     }
 
-    /// Guards against a front that keeps using the list of its start and is never informed of draining servers.
+    /// Guards against a front that keeps using the list from its start and never learns of draining servers.
     #[test]
     fn a_watched_list_is_requested_once_and_once_more_after_each_failure() {
         let mut host = Host::default();
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -33,7 +33,7 @@
         return Err(format!("batch {index}: byte 4: length {len} is under a header's {HEADER_BYTES}"));
     }
     if !now.is_finite() {
-        return Err(format!("batch {index}: byte 8: clock {now} is no time"));
+        return Err(format!("batch {index}: byte 8: time {now} is not finite"));
     }
     let rest = input
         .take((len - HEADER_BYTES) as u64)
@@ -61,6 +61,7 @@
 
 /// Reads values from a frame one after the other.
 pub struct Reader<'a> {
+    /// The whole frame.
     pub bytes: &'a [u8],
     /// Where the next value starts.
     pub position: usize,
@@ -111,6 +112,7 @@
         self.append(&instance.to_le_bytes())
     }
 
+    /// Appends bytes to the record that was started last.
     pub fn append(&mut self, raw: &[u8]) -> &mut Self {
         self.0.extend(raw);
         self
@@ -136,7 +138,7 @@
     #[test_case(&[1, 0, 0, 0, 22, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 7]
         => Err("batch 1: input ends at byte 21 of 22".into()); "short body")]
     #[test_case(&[1, 0, 0, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0] => Ok(true); "empty batch")]
-    fn a_frame_is_read_or_its_fault_is_named(bytes: &[u8]) -> Result<bool, String> {
+    fn a_frame_is_read_or_the_error_states_the_position(bytes: &[u8]) -> Result<bool, String> {
         read_frame(&mut &bytes[..]).map(|frame| frame.is_some())
     }
 }
