--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -10,10 +10,11 @@
 use walnutline::settings::{KeyScope, ListDelivery, PolicySettings, RepeatPolicy, ReportColumn, WeightKind};
 use walnutline::state::FrontState;
 
-const ONE: SessionId = SessionId(1);
+/// The session that a test places: the first one of its table.
+const SESSION: SessionId = SessionId(1);
 
 /// The server that a SETUP goes to, if any.
-fn went_to(placement: &Placement) -> Option<u32> {
+fn setup_server(placement: &Placement) -> Option<u32> {
     match placement {
         Placement::Setup { server, .. } => Some(server.0),
         _ => None,
@@ -22,15 +23,15 @@
 
 #[test_case(0.2, 5.0 => Some(3); "least link use")]
 #[test_case(0.5, 1.0 => Some(3); "least streams")]
-#[test_case(0.7, 5.0 => Some(1); "fuller than the rest")]
-fn the_holder_of_least_cost_wins(link: f64, streams: f64) -> Option<u32> {
+#[test_case(0.7, 5.0 => Some(1); "fuller than the others")]
+fn the_holder_of_least_cost_is_chosen(link: f64, streams: f64) -> Option<u32> {
     let mut front = front(settings());
-    let three = front.fleet.servers.get_mut(&ServerId(3)).unwrap();
-    three.link_use = Some(Measurement { value: link, measured_at: NOW, own_load: 0.0 });
-    three.streams = Some(Measurement { value: streams, measured_at: NOW, own_load: 0.0 });
+    let third = front.fleet.servers.get_mut(&ServerId(3)).unwrap();
+    third.link_use = Some(Measurement { value: link, measured_at: NOW, own_load: 0.0 });
+    third.streams = Some(Measurement { value: streams, measured_at: NOW, own_load: 0.0 });
     let mut table = session_table([Session { holders: cells(1, 3), ..session() }]);
     front.fleet.servers.get_mut(&ServerId(2)).unwrap().entry.state = ServerState::Gone;
-    went_to(&front.place(&mut table, ONE, NOW))
+    setup_server(&front.place(&mut table, SESSION, NOW))
 }
 
 #[test]
@@ -44,7 +45,7 @@
     (unmeasured.link_use, unmeasured.streams) = (None, None);
     // Rack 1 has the server with use 0.7 and the one without a measurement: below 0.5 on average.
     let mut table = session_table([Session { holders: cells(3, 1), ..session() }]);
-    let placement = front.place(&mut table, ONE, NOW);
+    let placement = front.place(&mut table, SESSION, NOW);
     assert!(matches!(placement, Placement::Setup { rung: 2, .. }), "{placement:?}");
 }
 
@@ -57,7 +58,7 @@
     for s in front.fleet.servers.values_mut() {
         s.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 });
     }
-    match front.place(&mut session_table([session()]), ONE, NOW) {
+    match front.place(&mut session_table([session()]), SESSION, NOW) {
         Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
@@ -75,7 +76,7 @@
         .servers
         .values_mut()
         .for_each(|s| s.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 }));
-    match front.place(&mut session_table([session()]), ONE, NOW) {
+    match front.place(&mut session_table([session()]), SESSION, NOW) {
         Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
@@ -90,7 +91,7 @@
     front.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
         Some(Measurement { value: used, measured_at: NOW, own_load: own });
     let mut table = session_table([Session { holders: cells(0, 1), ..session() }, playing(0, rung, 0.0)]);
-    went_to(&front.place(&mut table, ONE, NOW)).is_some()
+    setup_server(&front.place(&mut table, SESSION, NOW)).is_some()
 }
 
 #[test_case(ServerState::Draining; "draining")]
@@ -99,7 +100,7 @@
     let mut front = front(settings());
     front.fleet.servers.get_mut(&ServerId(1)).unwrap().entry.state = state;
     let mut table = session_table([Session { holders: cells(1, 1), ..session() }]);
-    assert!(matches!(front.place(&mut table, ONE, NOW), Placement::BusyReply { .. }));
+    assert!(matches!(front.place(&mut table, SESSION, NOW), Placement::BusyReply { .. }));
     assert!(table.sessions.is_empty());
 }
 
@@ -135,10 +136,10 @@
         ..settings()
     });
     front.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.95);
-    let s = front.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.link_use, s.entry.started_at) = (None, started_at);
+    let record = front.fleet.servers.get_mut(&ServerId(0)).unwrap();
+    (record.link_use, record.entry.started_at) = (None, started_at);
     front.settings.front_count = 1;
-    match front.place(&mut session_table([Session { holders: cells(0, 1), ..session() }]), ONE, NOW) {
+    match front.place(&mut session_table([Session { holders: cells(0, 1), ..session() }]), SESSION, NOW) {
         Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
@@ -150,9 +151,9 @@
     let mut front = front(settings());
     front.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
         Some(Measurement { value: use_, measured_at: NOW, own_load: 400.0 });
-    went_to(&front.place(
+    setup_server(&front.place(
         &mut session_table([Session { holders: cells(0, 1), ..session() }, playing(3, 0, 0.0)]),
-        ONE,
+        SESSION,
         NOW,
     ))
 }
@@ -168,7 +169,7 @@
     front.fleet.servers[&ServerId(0)].link_use.unwrap().value
 }
 
-#[test_case(0.40, 2 => vec![(ONE, 2)]; "room at the higher rate")]
+#[test_case(0.40, 2 => vec![(SESSION, 2)]; "room at the higher rate")]
 #[test_case(0.78, 2 => Vec::<(SessionId, u8)>::new(); "above the target use at the higher rate")]
 #[test_case(0.40, 1 => Vec::<(SessionId, u8)>::new(); "the viewer's highest rung")]
 fn a_playing_session_steps_up_into_spare_capacity(use_: f64, highest_rung: u8) -> Vec<(SessionId, u8)> {
@@ -194,6 +195,7 @@
     front.fleet.servers[&ServerId(0)].spare_kb_per_s.round()
 }
 
+/// A front that exchanges reports with the others, of so many fronts in all.
 fn front_among(fronts: u32) -> FrontState {
     front(PolicySettings { front_count: fronts, peer_messages_allowed: true, ..settings() })
 }
@@ -261,12 +263,12 @@
 fn a_server_that_answers_another_front_is_not_dead(process_age: Ms, age: Ms) -> (bool, u32) {
     let (mut front, mut table) = (front_among(41), SessionTable::default());
     front.settings.cold_start = Some(cold_start());
-    let s = front.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.died_at, s.last_failure_at, s.failures) = (Some(NOW), NOW, 2);
+    let record = front.fleet.servers.get_mut(&ServerId(0)).unwrap();
+    (record.died_at, record.last_failure_at, record.failures) = (Some(NOW), NOW, 2);
     let report = PeerReport { server: ServerId(0), stream_use: 0.5, link_use: 0.5, age, process_age };
     front.record_peer_reports(&mut table, &[report], NOW + 500.0);
-    let s = &front.fleet.servers[&ServerId(0)];
-    (s.died_at.is_none(), s.failures)
+    let record = &front.fleet.servers[&ServerId(0)];
+    (record.died_at.is_none(), record.failures)
 }
 
 /// Guards against 300 fronts that each probe a server which one of them has just reported on.
@@ -305,8 +307,8 @@
 fn implausible_report_values_are_ignored(value: f64) {
     let mut front = front(settings());
     front.record_report(&mut SessionTable::default(), ServerId(0), &[value, value], NOW + 1.0);
-    let s = &front.fleet.servers[&ServerId(0)];
-    assert_eq!((s.link_use.unwrap().measured_at, s.streams.unwrap().measured_at), (NOW, NOW));
+    let record = &front.fleet.servers[&ServerId(0)];
+    assert_eq!((record.link_use.unwrap().measured_at, record.streams.unwrap().measured_at), (NOW, NOW));
 }
 
 /// A session that fails at every server sets none of them aside. An error counts against a server once
@@ -318,12 +320,12 @@
 fn an_error_counts_against_the_server_or_the_session(max_setups: u16, errors: usize, plays: bool) -> usize {
     let mut front = front(PolicySettings { max_setups, ..settings() });
     let mut table = session_table([session()]);
-    front.place(&mut table, ONE, NOW);
+    front.place(&mut table, SESSION, NOW);
     for _ in 0..errors {
-        front.after_outcome(&mut table, ONE, SetupOutcome::Errored, NOW);
+        front.after_outcome(&mut table, SESSION, SetupOutcome::Errored, NOW);
     }
     if plays {
-        front.session_started(&mut table, ONE, NOW);
+        front.session_started(&mut table, SESSION, NOW);
     }
     front.fleet.servers.values().filter(|s| s.failures > 0).count()
 }
@@ -333,26 +335,26 @@
 #[test_case(SetupOutcome::NoConnection; "no connection")]
 fn a_failed_setup_goes_on_to_another_holder(outcome: SetupOutcome) {
     let mut front = front(settings());
-    let out = Session { server: Some(ServerId(2)), setup_count: 1, holders: cells(2, 2), ..session() };
-    let placement = front.after_outcome(&mut session_table([out]), ONE, outcome, NOW);
-    assert_eq!(went_to(&placement), Some(3));
+    let pending = Session { server: Some(ServerId(2)), setup_count: 1, holders: cells(2, 2), ..session() };
+    let placement = front.after_outcome(&mut session_table([pending]), SESSION, outcome, NOW);
+    assert_eq!(setup_server(&placement), Some(3));
     assert!(front.fleet.servers[&ServerId(2)].excluded_until > NOW);
 }
 
 #[test]
 fn a_server_that_fails_fast_does_not_attract_sessions() {
     let mut front = front(settings());
-    let s = front.fleet.servers.get_mut(&ServerId(0)).unwrap();
-    (s.link_use, s.failures, s.excluded_until) =
+    let record = front.fleet.servers.get_mut(&ServerId(0)).unwrap();
+    (record.link_use, record.failures, record.excluded_until) =
         (Some(Measurement { value: 0.0, measured_at: NOW, own_load: 0.0 }), 1, NOW + 1_000.0);
-    assert_ne!(went_to(&front.place(&mut session_table([session()]), ONE, NOW)), Some(0));
+    assert_ne!(setup_server(&front.place(&mut session_table([session()]), SESSION, NOW)), Some(0));
 }
 
 #[test]
 fn if_every_holder_is_set_aside_one_is_tried() {
     let mut front = front(settings());
     front.fleet.servers.values_mut().for_each(|s| s.excluded_until = NOW + 9_000.0);
-    assert!(went_to(&front.place(&mut session_table([session()]), ONE, NOW)).is_some());
+    assert!(setup_server(&front.place(&mut session_table([session()]), SESSION, NOW)).is_some());
 }
 
 #[test_case(RepeatPolicy::Once, SetupOutcome::Errored => Placement::TornDown; "may have run")]
@@ -369,8 +371,8 @@
         other.state = ServerState::Gone;
     }
     front.fleet.servers.get_mut(&ServerId(3)).unwrap().entry.state = ServerState::Draining;
-    let out = Session { server: Some(ServerId(3)), setup_count: 1, holders: cells(2, 2), ..session() };
-    front.after_outcome(&mut session_table([out]), ONE, outcome, NOW)
+    let pending = Session { server: Some(ServerId(3)), setup_count: 1, holders: cells(2, 2), ..session() };
+    front.after_outcome(&mut session_table([pending]), SESSION, outcome, NOW)
 }
 
 #[test_case(20.0, 0 => false; "its time is up")]
@@ -380,7 +382,7 @@
     let mut front = front(settings());
     let mut table =
         session_table([Session { viewer_deadline: NOW + left, setup_count: setups, ..session() }]);
-    went_to(&front.place(&mut table, ONE, NOW)).is_some()
+    setup_server(&front.place(&mut table, SESSION, NOW)).is_some()
 }
 
 #[test_case(2, 2 => false; "limit reached")]
@@ -390,7 +392,7 @@
     settings.service_groups[0].max_sessions_per_title = limit;
     let others = (0..present).map(|i| Session { playing: i > 0, ..playing(0, 0, 0.0) });
     let mut table = session_table([session()].into_iter().chain(others));
-    went_to(&front(settings).place(&mut table, ONE, NOW)).is_some()
+    setup_server(&front(settings).place(&mut table, SESSION, NOW)).is_some()
 }
 
 #[test]
@@ -410,8 +412,9 @@
     let mut front = front(PolicySettings { retry_budget: Some(retry_budget()), ..settings() });
     front.request_times.extend((0..requests).map(|i| NOW - 9_000.0 + i as f64));
     front.retry_times.extend((0..retries).map(|i| NOW - 5_000.0 + i as f64));
-    let out = Session { server: Some(ServerId(0)), setup_count: 1, ..session() };
-    went_to(&front.after_outcome(&mut session_table([out]), ONE, SetupOutcome::Errored, NOW)).is_some()
+    let pending = Session { server: Some(ServerId(0)), setup_count: 1, ..session() };
+    setup_server(&front.after_outcome(&mut session_table([pending]), SESSION, SetupOutcome::Errored, NOW))
+        .is_some()
 }
 
 /// All fronts send whenever they may. Together they stay within a cold server's budget in every window.
@@ -419,7 +422,7 @@
 #[test_case(3, 8.0, false; "less than one SETUP for each front")]
 #[test_case(200, 20.0, false; "much less than one SETUP for each front")]
 fn all_fronts_together_keep_a_cold_servers_budget(fronts: u32, streams: f64, used: bool) {
-    let mut all: Vec<_> = (0..fronts)
+    let mut all_fronts: Vec<_> = (0..fronts)
         .map(|_| {
             let settings =
                 PolicySettings { front_count: fronts, cold_start: Some(cold_start()), ..settings() };
@@ -431,21 +434,24 @@
     let mut sent = Vec::new();
     for ms in (0..9_990).step_by(10) {
         let now = NOW + ms as f64;
-        for front in &mut all {
+        for front in &mut all_fronts {
             let mut table = session_table([Session {
                 holders: cells(0, 1),
                 arrived_at: now,
                 viewer_deadline: now + 3_000.0,
                 ..session()
             }]);
-            if went_to(&front.place(&mut table, ONE, now)).is_some() {
+            if setup_server(&front.place(&mut table, SESSION, now)).is_some() {
                 sent.push(now);
             }
         }
     }
     let cold = cold_start();
     let budget = cold.rate_multiple * streams / cold.duration * cold.initial_share * cold.window;
-    let most = sent.iter().map(|t| sent.iter().filter(|u| **u >= *t && **u < t + cold.window).count()).max();
+    let most = sent
+        .iter()
+        .map(|start| sent.iter().filter(|t| **t >= *start && **t < start + cold.window).count())
+        .max();
     assert_eq!(used, !sent.is_empty());
     assert!(most.unwrap_or(0) as f64 <= budget, "{most:?} of {budget}");
 }
@@ -455,8 +461,8 @@
 fn a_server_that_died_counts_as_cold_when_it_answers_again(outcome: SetupOutcome) {
     let mut front = front(PolicySettings { cold_start: Some(cold_start()), ..settings() });
     front.settings.max_streams_by_kind = vec![2.0];
-    let out = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 1), ..session() };
-    let placement = front.after_outcome(&mut session_table([out]), ONE, outcome, NOW);
+    let pending = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 1), ..session() };
+    let placement = front.after_outcome(&mut session_table([pending]), SESSION, outcome, NOW);
     assert!(matches!(placement, Placement::NotYet | Placement::BusyReply { .. }), "{placement:?}");
 }
 
@@ -465,7 +471,7 @@
     let first = |seed| {
         let mut front = front(settings());
         front.rng = fastrand::Rng::with_seed(seed);
-        went_to(&front.place(&mut session_table([session()]), ONE, NOW))
+        setup_server(&front.place(&mut session_table([session()]), SESSION, NOW))
     };
     assert!((1..20).any(|seed| first(seed) != first(0)));
 }
@@ -499,7 +505,7 @@
     front.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use =
         Some(Measurement { value: 0.97, measured_at: NOW, own_load: 0.0 });
     let mut table = session_table([Session { holders: cells(0, 1), ..session() }, playing(3, rung, 0.0)]);
-    went_to(&front.place(&mut table, ONE, NOW)).is_some()
+    setup_server(&front.place(&mut table, SESSION, NOW)).is_some()
 }
 
 #[test_case(1.0, 900.0 => true; "full uplink")]
@@ -511,7 +517,7 @@
     let rack = front.fleet.racks.entry(RackId(0)).or_default();
     rack.uplink_use = Some(Measurement { value: uplink, measured_at: NOW - ago, own_load: 0.0 });
     let mut table = session_table([Session { holders: cells(0, 1), ..session() }, playing(1, 0, 0.0)]);
-    matches!(front.place(&mut table, ONE, NOW), Placement::BusyReply { .. })
+    matches!(front.place(&mut table, SESSION, NOW), Placement::BusyReply { .. })
 }
 
 #[test]
@@ -521,7 +527,7 @@
     front.fleet.racks.entry(RackId(0)).or_default().uplink_use =
         Some(Measurement { value: 0.95, measured_at: NOW, own_load: 0.0 });
     let placement =
-        front.place(&mut session_table([Session { holders: cells(1, 1), ..session() }]), ONE, NOW);
+        front.place(&mut session_table([Session { holders: cells(1, 1), ..session() }]), SESSION, NOW);
     assert!(matches!(placement, Placement::Setup { rung: 0, .. }), "{placement:?}");
 }
 
@@ -531,8 +537,8 @@
     let mut front = front(settings());
     front.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().measured_at = NOW - ago);
     let mut table = session_table([session()]);
-    let placement = front.place(&mut table, ONE, NOW);
-    (went_to(&placement).is_some(), front.due_actions(&mut table, NOW).probes.len())
+    let placement = front.place(&mut table, SESSION, NOW);
+    (setup_server(&placement).is_some(), front.due_actions(&mut table, NOW).probes.len())
 }
 
 #[test_case(Some(SetupOutcome::Done), 20.0 => true; "answered")]
@@ -542,12 +548,12 @@
     let mut front = front(settings());
     front.fleet.servers.values_mut().for_each(|s| s.link_use = None);
     let mut table = session_table([session()]);
-    front.place(&mut table, ONE, NOW);
+    front.place(&mut table, SESSION, NOW);
     let probed = front.due_actions(&mut table, NOW).probes[0];
     if let Some(outcome) = answer {
         front.probe_finished(&mut table, probed, outcome, NOW + later);
     }
-    front.due_actions(&mut table, NOW + later).sessions_to_place == [ONE]
+    front.due_actions(&mut table, NOW + later).sessions_to_place == [SESSION]
 }
 
 #[test_case(500.0 => Some(1); "just now")]
@@ -555,10 +561,14 @@
 fn a_server_is_avoided_for_a_while_after_a_busy_reply(ago: Ms) -> Option<u32> {
     let mut front = front(settings());
     front.fleet.servers.get_mut(&ServerId(0)).unwrap().link_use.as_mut().unwrap().value = 0.1;
-    let out = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 2), ..session() };
-    front.after_outcome(&mut session_table([out]), ONE, SetupOutcome::BusyReplied, NOW - ago);
+    let pending = Session { server: Some(ServerId(0)), setup_count: 1, holders: cells(0, 2), ..session() };
+    front.after_outcome(&mut session_table([pending]), SESSION, SetupOutcome::BusyReplied, NOW - ago);
     front.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().measured_at = NOW);
-    went_to(&front.place(&mut session_table([Session { holders: cells(0, 2), ..session() }]), ONE, NOW))
+    setup_server(&front.place(
+        &mut session_table([Session { holders: cells(0, 2), ..session() }]),
+        SESSION,
+        NOW,
+    ))
 }
 
 #[test_case(0 => 2; "no burst")]
@@ -570,7 +580,7 @@
     let mut table = session_table(
         [Session { holders: cells(0, 1), ..session() }].into_iter().chain((0..recent).map(recent_session)),
     );
-    match front.place(&mut table, ONE, NOW) {
+    match front.place(&mut table, SESSION, NOW) {
         Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
@@ -608,42 +618,44 @@
         time_left: 3_000.0,
     };
     let mut table = SessionTable::default();
-    front.add_request(&mut table, ONE, request, NOW);
-    let Placement::Setup { server, rung, .. } = front.place(&mut table, ONE, NOW) else { panic!("no SETUP") };
+    front.add_request(&mut table, SESSION, request, NOW);
+    let Placement::Setup { server, rung, .. } = front.place(&mut table, SESSION, NOW) else {
+        panic!("no SETUP")
+    };
     let load = table.loads(&front.settings)[&server].kb_per_s;
-    assert_eq!(load, table.sessions[&ONE].rate(&front.settings, rung));
+    assert_eq!(load, table.sessions[&SESSION].rate(&front.settings, rung));
     rung
 }
 
-/// Guards against viewers who are kept waiting when they could look elsewhere: a session that cannot be
-/// placed is answered at once, with a time to come back, however long its viewer would wait.
+/// Guards against viewers who are kept waiting when they could try elsewhere: a session that cannot be placed
+/// is answered at once, with a time to retry after, however long its viewer would wait.
 #[test_case(|_, s| s.viewer_deadline = NOW + 20.0; "its time is up")]
 #[test_case(|_, s| s.setup_count = 4; "all SETUPs are used")]
 #[test_case(|front, s| { front.settings.retry_budget = Some(retry_budget()); front.retry_times.extend([NOW, NOW]); s.setup_count = 1 }; "retry budget used up")]
 #[test_case(|front, s| { front.settings.service_groups[0].max_sessions_per_title = 1; s.title = TitleId(1) }; "title limit reached")]
 #[test_case(|_, s| s.holders = cells(0, 0); "no holder")]
 #[test_case(|front, _| front.fleet.servers.clear(); "empty server list")]
-#[test_case(|front, _| each(front, |s| s.entry.state = ServerState::Gone); "all servers gone")]
-#[test_case(|front, _| each(front, |s| s.entry.state = ServerState::Draining); "all servers draining")]
-#[test_case(|front, _| each(front, |s| s.link_use.as_mut().unwrap().value = 2.0); "all links full")]
-#[test_case(|front, _| each(front, |s| s.busy_until = NOW + 1_000.0); "all servers busy")]
-#[test_case(|front, _| { (front.settings.front_count, front.settings.cold_start) = (200, Some(cold_start())); each(front, |s| s.entry.started_at = Some(NOW)) }; "all servers cold for long")]
+#[test_case(|front, _| for_each_server(front, |s| s.entry.state = ServerState::Gone); "all servers gone")]
+#[test_case(|front, _| for_each_server(front, |s| s.entry.state = ServerState::Draining); "all servers draining")]
+#[test_case(|front, _| for_each_server(front, |s| s.link_use.as_mut().unwrap().value = 2.0); "all links full")]
+#[test_case(|front, _| for_each_server(front, |s| s.busy_until = NOW + 1_000.0); "all servers busy")]
+#[test_case(|front, _| { (front.settings.front_count, front.settings.cold_start) = (200, Some(cold_start())); for_each_server(front, |s| s.entry.started_at = Some(NOW)) }; "all servers cold for a long time")]
 fn a_session_that_cannot_be_placed_is_answered_at_once(prepare: fn(&mut FrontState, &mut Session)) {
-    let (mut front, mut s) = (front(settings()), session());
+    let (mut front, mut unplaced) = (front(settings()), session());
     // One session plays at its lowest rung.
     let other = Session { title: TitleId(1), ..playing(0, 0, 0.0) };
-    prepare(&mut front, &mut s);
-    let mut table = session_table([s, other]);
-    let placement = front.place(&mut table, ONE, NOW);
+    prepare(&mut front, &mut unplaced);
+    let mut table = session_table([unplaced, other]);
+    let placement = front.place(&mut table, SESSION, NOW);
     assert!(
         matches!(placement, Placement::BusyReply { retry_after: Some(t) } if (250.0..=500.0).contains(&t)),
         "{placement:?}"
     );
-    assert!(!table.sessions.contains_key(&ONE));
+    assert!(!table.sessions.contains_key(&SESSION));
 }
 
-fn each(front: &mut FrontState, with: fn(&mut Server)) {
-    front.fleet.servers.values_mut().for_each(with);
+fn for_each_server(front: &mut FrontState, change: fn(&mut Server)) {
+    front.fleet.servers.values_mut().for_each(change);
 }
 
 /// A session is held for a probe's answer only while the server takes new sessions.
@@ -654,10 +666,10 @@
     let mut front = front(settings());
     front.fleet.servers.values_mut().for_each(|s| s.link_use = None);
     let mut table = session_table([session()]);
-    assert_eq!(front.place(&mut table, ONE, NOW), Placement::NotYet);
+    assert_eq!(front.place(&mut table, SESSION, NOW), Placement::NotYet);
     let probed = front.due_actions(&mut table, NOW).probes[0];
     front.fleet.servers.get_mut(&probed).unwrap().entry.state = state;
-    front.due_actions(&mut table, NOW + 10.0).sessions_to_place == [ONE]
+    front.due_actions(&mut table, NOW + 10.0).sessions_to_place == [SESSION]
 }
 
 /// The list may have zones, kinds and cells that the settings do not name, and a server may appear twice.
@@ -669,11 +681,15 @@
         ListEntry { zone: ZoneIndex(9), kind: KindIndex(255), cell: CellId(4_001), ..server(7).entry };
     front.replace_server_list(vec![unknown.clone(), unknown, server(1).entry]);
     for (id, used) in [(7, 0.4), (1, 0.5)] {
-        let s = front.fleet.servers.get_mut(&ServerId(id)).unwrap();
-        s.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 });
-        s.streams = Some(Measurement { value: 5.0, measured_at: NOW, own_load: 0.0 });
+        let record = front.fleet.servers.get_mut(&ServerId(id)).unwrap();
+        record.link_use = Some(Measurement { value: used, measured_at: NOW, own_load: 0.0 });
+        record.streams = Some(Measurement { value: 5.0, measured_at: NOW, own_load: 0.0 });
     }
-    assert_eq!(went_to(&front.place(&mut session_table([session()]), ONE, NOW)), Some(7), "it has more room");
+    assert_eq!(
+        setup_server(&front.place(&mut session_table([session()]), SESSION, NOW)),
+        Some(7),
+        "it has more room"
+    );
 }
 
 #[test]
@@ -681,15 +697,15 @@
     let mut front = front(PolicySettings { uplink_kb_per_s: f64::INFINITY, ..settings() });
     front.fleet.servers.values_mut().for_each(|s| s.link_use.as_mut().unwrap().value = 0.1);
     let mut table = session_table([session(), playing(0, 0, 0.0)]);
-    assert!(matches!(front.place(&mut table, ONE, NOW), Placement::Setup { rung: 2, .. }));
+    assert!(matches!(front.place(&mut table, SESSION, NOW), Placement::Setup { rung: 2, .. }));
     front.record_link_use(&mut table, ServerId(0), 0.1, NOW + 5_000.0);
     assert_eq!(front.due_actions(&mut table, NOW + 5_000.0).rung_changes, [(SessionId(2), 1)]);
 }
 
 /// Where a change of rung costs much, one change steps down several rungs instead of several changes.
-#[test_case(0.0, 2 => vec![(ONE, 1)]; "free changes step down one rung")]
-#[test_case(1_000.0, 2 => vec![(ONE, 1)]; "cheap changes step down one rung")]
-#[test_case(20_000.0, 2 => vec![(ONE, 0)]; "costly changes step down further")]
+#[test_case(0.0, 2 => vec![(SESSION, 1)]; "free changes step down one rung")]
+#[test_case(1_000.0, 2 => vec![(SESSION, 1)]; "cheap changes step down one rung")]
+#[test_case(20_000.0, 2 => vec![(SESSION, 0)]; "costly changes step down further")]
 fn a_costly_change_steps_further_down(change_cost: Ms, rung: u8) -> Vec<(SessionId, u8)> {
     let mut front = front(PolicySettings { rung_change_cost: change_cost, ..settings() });
     front.record_link_use(&mut session_table([playing(0, rung, 0.0)]), ServerId(0), 20.0, NOW);
@@ -714,10 +730,10 @@
 #[test_case(0.15, 2.0 => false; "not paid for yet")]
 fn a_holder_is_probed_only_if_sessions_pay_for_it(probe_cost: f64, probe_debt: f64) -> bool {
     let mut front = front(PolicySettings { probe_cost, ..settings() });
-    each(&mut front, |s| s.link_use = None);
+    for_each_server(&mut front, |s| s.link_use = None);
     front.probe_debt = probe_debt;
     let mut table = session_table([session()]);
-    let placement = front.place(&mut table, ONE, NOW);
+    let placement = front.place(&mut table, SESSION, NOW);
     front.due_actions(&mut table, NOW);
     assert_eq!(front.probe_debt > probe_debt, placement == Placement::NotYet && probe_cost > 0.0);
     placement == Placement::NotYet
@@ -731,7 +747,7 @@
     for weight in [1.0, 0.2] {
         front.update_server(ListEntry { weight, ..server(0).entry });
     }
-    match front.place(&mut session_table([Session { holders: cells(0, 1), ..session() }]), ONE, NOW) {
+    match front.place(&mut session_table([Session { holders: cells(0, 1), ..session() }]), SESSION, NOW) {
         Placement::Setup { rung, .. } => rung,
         other => panic!("{other:?}"),
     }
@@ -743,10 +759,10 @@
 #[test_case(vec![] => (true, 0); "nothing reported")]
 fn a_holder_is_probed_only_if_its_answer_reports_the_link(columns: Vec<ReportColumn>) -> (bool, usize) {
     let mut front = front(PolicySettings { report_columns: columns, ..settings() });
-    each(&mut front, |s| s.link_use = None);
+    for_each_server(&mut front, |s| s.link_use = None);
     let mut table = session_table([session()]);
-    let placement = front.place(&mut table, ONE, NOW);
-    (went_to(&placement).is_some(), front.due_actions(&mut table, NOW).probes.len())
+    let placement = front.place(&mut table, SESSION, NOW);
+    (setup_server(&placement).is_some(), front.due_actions(&mut table, NOW).probes.len())
 }
 
 /// Guards against many viewers that are turned away at once and come back at once.
@@ -754,10 +770,11 @@
 fn viewers_turned_away_together_get_different_retry_times() {
     let mut front = front(settings());
     front.fleet.servers.clear();
-    let retry_after = |front: &mut FrontState| match front.place(&mut session_table([session()]), ONE, NOW) {
-        Placement::BusyReply { retry_after: Some(t) } => t as u32 / 50,
-        other => panic!("{other:?}"),
-    };
+    let retry_after =
+        |front: &mut FrontState| match front.place(&mut session_table([session()]), SESSION, NOW) {
+            Placement::BusyReply { retry_after: Some(t) } => t as u32 / 50,
+            other => panic!("{other:?}"),
+        };
     let times: std::collections::BTreeSet<u32> = (0..40).map(|_| retry_after(&mut front)).collect();
     assert!(times.len() >= 5, "{times:?}");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,8 +9,10 @@
 };
 use walnutline::state::FrontState;
 
+/// The time at which the tests' requests arrive.
 pub const NOW: Ms = 100_000.0;
 
+/// Settings of two fronts, with three rungs and no optional limits.
 pub fn settings() -> PolicySettings {
     PolicySettings {
         front_count: 2,
@@ -59,9 +61,9 @@
         weight: 1.0,
         started_at: None,
     };
-    let link = Some(Measurement { value: 0.5, measured_at: NOW, own_load: 0.0 });
+    let link_use = Some(Measurement { value: 0.5, measured_at: NOW, own_load: 0.0 });
     Server {
-        link_use: link,
+        link_use,
         streams: Some(Measurement { value: 5.0, measured_at: NOW, own_load: 0.0 }),
         ..Server::new(entry)
     }
@@ -104,6 +106,7 @@
     }
 }
 
+/// The servers in consecutive cells as holders.
 pub fn cells(first: u32, count: u32) -> Holders {
     Holders::Cells { first: CellId(first), count }
 }
