--- a/src/choice.rs
+++ b/src/choice.rs
@@ -338,9 +338,9 @@
         *last = Some(Measurement { value: use_, measured_at, own_load: own });
         if let SharedLink::Link(id) = link {
             // Capacity used within the measurement delay does not show in the measurement yet.
-            let gain =
+            let usable_share =
                 (since_last / (self.settings.measurement_delay * (1.0 + SETTLE_DELAYS)).max(1.0)).min(1.0);
-            self.use_spare_capacity(table, id, gain, now);
+            self.use_spare_capacity(table, id, usable_share, now);
         }
         // This front's part of the excess follows what it can shed: sessions at their lowest rungs, here or
         // elsewhere, can shed nothing.
@@ -471,12 +471,12 @@
         // sessions are not held.
         let measured_at =
             self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |last| last.measured_at);
-        let in_time = target_left > group.start_target * MIN_TARGET_LEFT_TO_PROBE;
+        let time_to_probe = target_left > group.start_target * MIN_TARGET_LEFT_TO_PROBE;
         let may_probe = self.settings.probes_report_link() && self.probe_debt <= 0.0;
         if may_probe
             && now - measured_at > PROBE_IF_OLDER_THAN
             && session.probed_servers.len() < MAX_PROBES_PER_SESSION
-            && in_time
+            && time_to_probe
         {
             self.awaited_probe = Some(server);
             return Placement::NotYet;
@@ -549,6 +549,7 @@
         (!by_cost.is_empty()).then(|| by_cost[self.rng.usize(..by_cost.len())].1)
     }
 
+    /// Cost of a holder: the weighted sum of its stream use and of the use of its link and uplink.
     fn cost(&self, loads: &Loads, server: ServerId) -> f64 {
         let record = &self.fleet.servers[&server];
         let max_streams = self.settings.max_streams(&record.entry);
@@ -607,7 +608,8 @@
         }
     }
 
-    /// Use of a server's link, estimated in the same way.
+    /// Use of a server's link, estimated as in `stream_count`. What the other fronts are assumed to have added
+    /// recently is added to a measurement.
     fn link_use(&self, loads: &Loads, server: ServerId) -> f64 {
         let own = loads.get(&server).map_or(0.0, |l| l.kb_per_s);
         let capacity = self.capacity(SharedLink::Link(server));
@@ -785,12 +787,12 @@
         self.rung_changes.len() > changes_before
     }
 
-    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is the
-    /// share that this front has of the use, and as in `step_down` the last step is random: so fronts with
-    /// the same measurement fill the spare capacity once, however many they are. It fills more slowly where
-    /// their shares differ much. What is left of the part stays until the next measurement, for sessions that
-    /// may not change their rung yet.
-    fn use_spare_capacity(&mut self, table: &mut SessionTable, server: ServerId, gain: f64, now: Ms) {
+    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is as large
+    /// a share of the spare capacity as this front has of the use, and as in `step_down` the last step is
+    /// random: so fronts with the same measurement fill the spare capacity once, however many they are. It
+    /// fills more slowly where their shares differ much. `usable_share` of the part may be used now. What is
+    /// left of it stays until the next measurement, for sessions that may not change their rung yet.
+    fn use_spare_capacity(&mut self, table: &mut SessionTable, server: ServerId, usable_share: f64, now: Ms) {
         let loads = table.loads(&self.settings);
         self.estimate_foreign_load(table, &loads, now);
         let own_part = |use_: f64, link| {
@@ -799,7 +801,8 @@
         let rack = self.settings.rack_of_cell(self.fleet.servers[&server].entry.cell);
         let part = own_part(self.link_use(&loads, server), SharedLink::Link(server))
             .min(own_part(self.uplink_use(&loads, rack), SharedLink::Uplink(rack)));
-        self.fleet.servers.get_mut(&server).expect("measured servers are known").spare_kb_per_s = part * gain;
+        self.fleet.servers.get_mut(&server).expect("measured servers are known").spare_kb_per_s =
+            part * usable_share;
         self.step_up(table, server, now);
     }
 
@@ -811,18 +814,18 @@
         let mut candidates: Vec<(f64, SessionId)> = Vec::new();
         for (id, session) in &table.sessions {
             if session.playing && session.server == Some(server) && session.rung < session.highest_rung {
-                let gain = settings.rung_utility[session.rung as usize + 1]
+                let utility_gain = settings.rung_utility[session.rung as usize + 1]
                     - settings.rung_utility[session.rung as usize];
                 // A session that has kept its rung for as long as the change takes to pay off is likely to
                 // stay on for as long again.
-                let payback = settings.rung_change_cost / gain.max(1e-3);
+                let payback = settings.rung_change_cost / utility_gain.max(1e-3);
                 if now - session.rung_set_at < (RUNG_HOLD_DELAYS * settings.measurement_delay).max(payback) {
                     continue;
                 }
                 let kb_per_s =
                     session.rate(settings, session.rung + 1) - session.rate(settings, session.rung);
                 let utility = settings.service_groups[session.group.0 as usize].utility;
-                candidates.push((utility * gain / kb_per_s, *id));
+                candidates.push((utility * utility_gain / kb_per_s, *id));
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
@@ -1023,18 +1026,22 @@
                 && self.settings.probes_report_link()
                 && self.probe_debt <= 0.0;
             let Some(own) = loads.get(&record.entry.id).filter(|_| may_probe) else { continue };
-            let next = now + PROBE_INTERVAL / own.streams;
+            let regular_probe_at = now + PROBE_INTERVAL / own.streams;
             let just_measured =
                 record.link_use.is_some_and(|last| now - last.measured_at < FIRST_PROBE_WITHIN);
             let min_wait = if with_peers { FIRST_PROBE_WITHIN } else { 0.0 };
-            let first =
-                if just_measured { next } else { now + min_wait + FIRST_PROBE_WITHIN * self.rng.f64() };
+            let first_probe_at = if just_measured {
+                regular_probe_at
+            } else {
+                now + min_wait + FIRST_PROBE_WITHIN * self.rng.f64()
+            };
             // A report of another front serves as well as an answer to this one.
-            let due_by_age =
+            let due_by_age_at =
                 record.link_use.map_or(now, |last| last.measured_at + PROBE_INTERVAL / own.streams);
-            if *record.next_probe_at.get_or_insert(first) <= now {
-                record.next_probe_at = Some(if due_by_age <= now { next } else { due_by_age });
-                if due_by_age <= now {
+            if *record.next_probe_at.get_or_insert(first_probe_at) <= now {
+                record.next_probe_at =
+                    Some(if due_by_age_at <= now { regular_probe_at } else { due_by_age_at });
+                if due_by_age_at <= now {
                     due.probes.push(record.entry.id);
                 }
             }
