--- a/crates/sessions/tests/session_manager.rs
+++ b/crates/sessions/tests/session_manager.rs
@@ -10,9 +10,11 @@
 };
 use walnutline_sessions::session_manager::*;
 
+/// Boxes of the server list.
 const BOX_COUNT: u32 = 4;
 const TIMEOUTS: Timeouts =
     Timeouts { connect: 300.0, probe: 200.0, max_silence: 5_000.0, answer_margin: 50.0 };
+/// How long each viewer waits for its answer.
 const VIEWER_WAIT: Ms = 2_000.0;
 
 fn settings() -> PolicySettings {
@@ -69,15 +71,33 @@
 /// An event. An index picks a request, connection or message among those that there are.
 #[derive(Debug, Clone)]
 enum Event {
-    Request { group: u16, holders: u32 },
+    /// Bit n of `holders` stands for box n.
+    Request {
+        group: u16,
+        holders: u32,
+    },
     ViewerLeaves(usize),
     ConnectionOpens(usize),
     ConnectionFails(usize),
-    ConnectionCloses { index: usize, begun: u32 },
-    Response { index: usize, result: u8 },
-    UnknownResponse { index: usize, cseq: u32 },
+    ConnectionCloses {
+        index: usize,
+        begun: u32,
+    },
+    /// A `result` of 0 stands for a busy reply, 1 for an error, a higher one for success.
+    Response {
+        index: usize,
+        result: u8,
+    },
+    UnknownResponse {
+        index: usize,
+        cseq: u32,
+    },
     SessionEnds(usize),
-    ServerChanges { id: u32, state: u8 },
+    ServerChanges {
+        id: u32,
+        state: u8,
+    },
+    /// Bit n stands for box n.
     ListReplaced(u32),
     TimePasses(Ms),
 }
@@ -409,7 +429,8 @@
     }
 }
 
-/// Answers probes that a session waits for until its SETUP is sent; returns the position of the SETUP.
+/// Answers the probes that a session waits for until its SETUP is sent; returns the position of the SETUP among the
+/// unanswered messages.
 fn answer_probes_until_setup(environment: &mut Environment, id: SessionId) -> usize {
     for _ in 0..10 {
         if let Some(position) = environment.unanswered.iter().position(|message| message.3 == Some(id)) {
