--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -178,7 +178,7 @@
                 }
             }
             event::SETUP_DONE => {
-                let (id, _leg, _server, _took) =
+                let (id, _leg, _server, _duration) =
                     (SessionId(reader.u64()?), reader.u16()?, reader.u32()?, reader.f64()?);
                 if let Some(engine) = engine {
                     engine.session_started(id, now);
@@ -187,7 +187,7 @@
             event::SETUP_ENDED => {
                 let (id, code, server, is_over) =
                     (SessionId(reader.u64()?), reader.u16()?, ServerId(reader.u32()?), reader.u8()?);
-                let (_took, _leg) = (reader.f64()?, reader.u16()?);
+                let (_duration, _leg) = (reader.f64()?, reader.u16()?);
                 let load = read_values(reader)?;
                 let outcome = parse_outcome(code)?;
                 if let Some(engine) = engine {
@@ -208,7 +208,7 @@
                 }
             }
             event::PROBE_ENDED => {
-                let (server, code, _took) = (ServerId(reader.u32()?), reader.u16()?, reader.f64()?);
+                let (server, code, _duration) = (ServerId(reader.u32()?), reader.u16()?, reader.f64()?);
                 let load = read_values(reader)?;
                 let outcome = parse_outcome(code)?;
                 if let Some(engine) = engine {
