--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -120,10 +120,12 @@
     pub ignore_reports_until: Ms,
 }
 
-/// All servers and racks that a front knows.
+/// The servers and racks that a front knows.
 #[derive(Debug, Default)]
 pub struct Fleet {
+    /// Servers by id, including those that are gone.
     pub servers: BTreeMap<ServerId, Server>,
+    /// Racks by id, as far as their uplinks were reported.
     pub racks: BTreeMap<RackId, Rack>,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -85,7 +85,8 @@
 pub enum WeightKind {
     /// The approximate capacity of its link, or the same for all servers.
     Capacity,
-    /// Its capacity over its load some time before: it shows the full capacity only while the server is idle.
+    /// Its capacity, reduced by its load some time before: it shows the full capacity only while the server is
+    /// idle.
     LoadAdjusted,
 }
 
@@ -154,6 +155,7 @@
         self.rung_kb_per_s[rung as usize] * self.service_groups[group.0 as usize].rate_scale
     }
 
+    /// The rack of a cell's servers: cells are assigned to the racks in turn.
     pub fn rack_of_cell(&self, cell: CellId) -> RackId {
         RackId(cell.0 % self.rack_count)
     }
