--- a/src/choice.rs
+++ b/src/choice.rs
@@ -36,15 +36,17 @@
 const RUNG_HOLD_DELAYS: f64 = 3.0;
 /// A smaller delivered share shows an overloaded link or uplink.
 const SUFFICIENT_SHARE: f64 = 0.98;
-/// Most that probes may cost, as a share of the utility of sessions: each session pays for that many.
+/// Most that probes may cost, as a share of the utility of sessions: each session pays for as many as that
+/// allows.
 const PROBE_COST_SHARE: f64 = 0.04;
-/// Interval between probes of a server, divided by the number of this front's sessions there: sessions pay
-/// for probes.
+/// Interval between probes of a server that has one session of this front. With more sessions it is divided
+/// by their number, as sessions pay for probes.
 const PROBE_INTERVAL: Ms = 25_000.0;
-/// The first probe of a server comes within this time.
+/// The first probe of a server comes at a random moment within this time. Where fronts exchange reports, it is
+/// deferred by as much again.
 const FIRST_PROBE_WITHIN: Ms = 1_500.0;
 /// After a step down, reports are ignored for the measurement delay and this many further delays: they show
-/// the time before it.
+/// the load before it.
 const SETTLE_DELAYS: f64 = 1.2;
 /// Weight of a report against the value expected from earlier ones: single reports are noisy.
 const REPORT_WEIGHT: f64 = 0.5;
@@ -55,13 +57,14 @@
 /// Share of the remaining start target that the first SETUP may take where another could follow.
 const FIRST_SETUP_SHARE: f64 = 0.45;
 /// Least time-out of a first SETUP, as a share of the start target: a shorter one would cut off healthy
-/// servers.
+/// servers. A first SETUP that is left with less may take all of the viewer's remaining time.
 const MIN_TIMEOUT_SHARE: f64 = 0.1;
 /// For how long a server is set aside after its first failure; doubled with each consecutive one.
 const EXCLUSION_BASE: Ms = 1_000.0;
+/// Longest time for which a server is set aside.
 const EXCLUSION_MAX: Ms = 8_000.0;
-/// `EXCLUSION_BASE` where fronts exchange reports: a server's recovery is reported sooner than a probe of
-/// this front would show it.
+/// `EXCLUSION_BASE` where fronts exchange reports. It is longer, as another front reports a server's recovery
+/// sooner than a probe of this front would show it.
 const EXCLUSION_BASE_WITH_PEERS: Ms = 4_000.0;
 /// Share of a cold server's budget that all fronts together may use.
 const COLD_BUDGET_SHARE: f64 = 0.9;
@@ -84,8 +87,8 @@
 /// arrives in time.
 const LIST_POLL_SHARE: f64 = 0.8;
 const MAX_LIST_POLL_INTERVAL: Ms = 500.0;
-/// The first watch call comes within this share of the time after which the list is assumed known or
-/// measurements expire.
+/// The first watch call comes within this share of the time after which the list is assumed known, or of
+/// `MEASUREMENT_LIFETIME` if that is shorter.
 const FIRST_LIST_CALL_SHARE: f64 = 0.25;
 /// Mean wait after a failed watch call, as a share of the same time; doubled with each consecutive failure.
 const LIST_RETRY_SHARE: f64 = 0.05;
@@ -133,14 +136,14 @@
         }
     }
 
-    /// Records the demand on a server's link over its capacity.
+    /// Records the demand on a server's link as a share of its capacity.
     pub fn record_link_use(&mut self, table: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
         if self.fleet.servers.contains_key(&server) {
             self.record_use(table, SharedLink::Link(server), use_, now);
         }
     }
 
-    /// Records the demand on the uplink of a server's rack over its capacity.
+    /// Records the demand on the uplink of a server's rack as a share of its capacity.
     pub fn record_uplink_use(&mut self, table: &mut SessionTable, server: ServerId, use_: f64, now: Ms) {
         if let Some(rack) = self.rack_of(server) {
             self.record_use(table, SharedLink::Uplink(rack), use_, now);
@@ -296,8 +299,8 @@
 
     // ---- measurements of links ----
 
-    /// Records a report of a link's use. It is about as old as a delivered share, so the load that this front
-    /// has added meanwhile is added to it.
+    /// Records a report of a link's use. The value is about as old as the measurement delay, so the load that
+    /// this front has added since then is added to it.
     fn record_use(&mut self, table: &mut SessionTable, link: SharedLink, use_: f64, now: Ms) {
         let on_link = |s: &Session| self.uses_link(s, link);
         let growth = table.growth_since(&self.settings, on_link, now - self.settings.measurement_delay)
@@ -335,9 +338,9 @@
         *last = Some(Measurement { value: use_, measured_at, own_load: own });
         if let SharedLink::Link(id) = link {
             // Capacity used within the measurement delay does not show in the measurement yet.
-            let gain =
+            let usable_share =
                 (since_last / (self.settings.measurement_delay * (1.0 + SETTLE_DELAYS)).max(1.0)).min(1.0);
-            self.use_spare_capacity(table, id, gain, now);
+            self.use_spare_capacity(table, id, usable_share, now);
         }
         // This front's part of the excess follows what it can shed: sessions at their lowest rungs, here or
         // elsewhere, can shed nothing.
@@ -351,9 +354,9 @@
         }
     }
 
-    /// Records the share of their rates that sessions at a server received: demand on its link exceeds the
-    /// capacity by the inverse. Where the uplink is the bottleneck, every server of the rack reports it for
-    /// itself.
+    /// Records the share of their rates that sessions at a server received: the demand on its link is the
+    /// capacity divided by this share. Where the uplink is the bottleneck, every server of the rack reports it
+    /// for itself.
     pub fn record_delivered_share(
         &mut self,
         table: &mut SessionTable,
@@ -365,7 +368,7 @@
             return;
         }
         let demand = 1.0 / share.max(MIN_DELIVERED_SHARE);
-        // A sufficient share shows no more than that an earlier shortage is over.
+        // A sufficient share does not show how much of the link is free, only that an earlier shortage is over.
         if share < SUFFICIENT_SHARE || self.link_use(&table.loads(&self.settings), server) > demand {
             self.merge_measurement(table, SharedLink::Link(server), demand, 1.0, now, now);
         }
@@ -431,7 +434,7 @@
         let give_up = self.give_up(session);
         let time_left = session.viewer_deadline - now;
         let title_limit_reached = group.max_sessions_per_title > 0
-            && table.sessions_of_title(session.title, session.group) >= group.max_sessions_per_title;
+            && table.title_session_count(session.title, session.group) >= group.max_sessions_per_title;
         let setups_used_up = session.setup_count >= self.settings.max_setups
             || session.setup_count > 0 && !self.retry_budget_left(now);
         if time_left <= ANSWER_MARGIN || title_limit_reached || setups_used_up {
@@ -468,12 +471,12 @@
         // sessions are not held.
         let measured_at =
             self.fleet.servers[&server].link_use.map_or(Ms::NEG_INFINITY, |last| last.measured_at);
-        let in_time = target_left > group.start_target * MIN_TARGET_LEFT_TO_PROBE;
+        let time_to_probe = target_left > group.start_target * MIN_TARGET_LEFT_TO_PROBE;
         let may_probe = self.settings.probes_report_link() && self.probe_debt <= 0.0;
         if may_probe
             && now - measured_at > PROBE_IF_OLDER_THAN
             && session.probed_servers.len() < MAX_PROBES_PER_SESSION
-            && in_time
+            && time_to_probe
         {
             self.awaited_probe = Some(server);
             return Placement::NotYet;
@@ -546,6 +549,7 @@
         (!by_cost.is_empty()).then(|| by_cost[self.rng.usize(..by_cost.len())].1)
     }
 
+    /// Cost of a holder: the weighted sum of its stream use and of the use of its link and uplink.
     fn cost(&self, loads: &Loads, server: ServerId) -> f64 {
         let record = &self.fleet.servers[&server];
         let max_streams = self.settings.max_streams(&record.entry);
@@ -604,7 +608,8 @@
         }
     }
 
-    /// Use of a server's link, estimated in the same way.
+    /// Use of a server's link, estimated as in `stream_count`. What the other fronts are assumed to have added
+    /// recently is added to a measurement.
     fn link_use(&self, loads: &Loads, server: ServerId) -> f64 {
         let own = loads.get(&server).map_or(0.0, |l| l.kb_per_s);
         let capacity = self.capacity(SharedLink::Link(server));
@@ -656,7 +661,7 @@
     }
 
     /// Use of a rack's uplink: the last measurement, else the mean of the measured uplinks, else the sum of
-    /// the loads of the rack's links over the uplink's stated capacity.
+    /// the loads of the rack's links as a share of the uplink's stated capacity.
     fn uplink_use(&self, loads: &Loads, rack: RackId) -> f64 {
         let uplink = SharedLink::Uplink(rack);
         // Measurements expire, as a full rack that is avoided is not measured again.
@@ -782,12 +787,12 @@
         self.rung_changes.len() > changes_before
     }
 
-    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is the
-    /// share that this front has of the use, and as in `step_down` the last step is random: so fronts with
-    /// the same measurement fill the spare capacity once, however many they are. It fills more slowly where
-    /// their shares differ much. What is left of the part stays until the next measurement, for sessions that
-    /// may not change their rung yet.
-    fn use_spare_capacity(&mut self, table: &mut SessionTable, server: ServerId, gain: f64, now: Ms) {
+    /// Sets this front's part of a server's spare capacity and steps sessions up into it. The part is as large
+    /// a share of the spare capacity as this front has of the use, and as in `step_down` the last step is
+    /// random: so fronts with the same measurement fill the spare capacity once, however many they are. It
+    /// fills more slowly where their shares differ much. `usable_share` of the part may be used now. What is
+    /// left of it stays until the next measurement, for sessions that may not change their rung yet.
+    fn use_spare_capacity(&mut self, table: &mut SessionTable, server: ServerId, usable_share: f64, now: Ms) {
         let loads = table.loads(&self.settings);
         self.estimate_foreign_load(table, &loads, now);
         let own_part = |use_: f64, link| {
@@ -796,7 +801,8 @@
         let rack = self.settings.rack_of_cell(self.fleet.servers[&server].entry.cell);
         let part = own_part(self.link_use(&loads, server), SharedLink::Link(server))
             .min(own_part(self.uplink_use(&loads, rack), SharedLink::Uplink(rack)));
-        self.fleet.servers.get_mut(&server).expect("measured servers are known").spare_kb_per_s = part * gain;
+        self.fleet.servers.get_mut(&server).expect("measured servers are known").spare_kb_per_s =
+            part * usable_share;
         self.step_up(table, server, now);
     }
 
@@ -808,18 +814,18 @@
         let mut candidates: Vec<(f64, SessionId)> = Vec::new();
         for (id, session) in &table.sessions {
             if session.playing && session.server == Some(server) && session.rung < session.highest_rung {
-                let gain = settings.rung_utility[session.rung as usize + 1]
+                let utility_gain = settings.rung_utility[session.rung as usize + 1]
                     - settings.rung_utility[session.rung as usize];
                 // A session that has kept its rung for as long as the change takes to pay off is likely to
                 // stay on for as long again.
-                let payback = settings.rung_change_cost / gain.max(1e-3);
+                let payback = settings.rung_change_cost / utility_gain.max(1e-3);
                 if now - session.rung_set_at < (RUNG_HOLD_DELAYS * settings.measurement_delay).max(payback) {
                     continue;
                 }
                 let kb_per_s =
                     session.rate(settings, session.rung + 1) - session.rate(settings, session.rung);
                 let utility = settings.service_groups[session.group.0 as usize].utility;
-                candidates.push((utility * gain / kb_per_s, *id));
+                candidates.push((utility * utility_gain / kb_per_s, *id));
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
@@ -944,8 +950,9 @@
 
     /// How long until a SETUP may go to a server that may be cold; `None` if it may go now. All fronts share
     /// the server's budget equally if that gives each at least one SETUP in a window. Else the server is left
-    /// alone until it is warm, as no front knows what the others send. The budget counts on the warmth at the
-    /// start only, as later warmth is not certain. A front that has just started counts its share as spent.
+    /// alone until it is warm, as no front knows what the others send. The budget is computed from the
+    /// capacity at the start only, as how it grows afterwards is not certain. A front that has just started
+    /// counts its share as spent.
     /// Shares are spaced by the window plus the connect time-out, as a SETUP may wait for its connection. It
     /// does harm where much of a fleet is cold at once: the other servers must carry all.
     fn cold_start_wait(&self, server: &ServerId, now: Ms) -> Option<Ms> {
@@ -1019,18 +1026,22 @@
                 && self.settings.probes_report_link()
                 && self.probe_debt <= 0.0;
             let Some(own) = loads.get(&record.entry.id).filter(|_| may_probe) else { continue };
-            let next = now + PROBE_INTERVAL / own.streams;
+            let regular_probe_at = now + PROBE_INTERVAL / own.streams;
             let just_measured =
                 record.link_use.is_some_and(|last| now - last.measured_at < FIRST_PROBE_WITHIN);
             let min_wait = if with_peers { FIRST_PROBE_WITHIN } else { 0.0 };
-            let first =
-                if just_measured { next } else { now + min_wait + FIRST_PROBE_WITHIN * self.rng.f64() };
+            let first_probe_at = if just_measured {
+                regular_probe_at
+            } else {
+                now + min_wait + FIRST_PROBE_WITHIN * self.rng.f64()
+            };
             // A report of another front serves as well as an answer to this one.
-            let due_by_age =
+            let due_by_age_at =
                 record.link_use.map_or(now, |last| last.measured_at + PROBE_INTERVAL / own.streams);
-            if *record.next_probe_at.get_or_insert(first) <= now {
-                record.next_probe_at = Some(if due_by_age <= now { next } else { due_by_age });
-                if due_by_age <= now {
+            if *record.next_probe_at.get_or_insert(first_probe_at) <= now {
+                record.next_probe_at =
+                    Some(if due_by_age_at <= now { regular_probe_at } else { due_by_age_at });
+                if due_by_age_at <= now {
                     due.probes.push(record.entry.id);
                 }
             }
@@ -1056,11 +1067,11 @@
 }
 
 fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
-    let (sum, n) = values.fold((0.0, 0u32), |(sum, n), x| (sum + x, n + 1));
-    (n > 0).then(|| sum / n as f64)
+    let (sum, count) = values.fold((0.0, 0u32), |(sum, count), value| (sum + value, count + 1));
+    (count > 0).then(|| sum / count as f64)
 }
 
-/// Reports may contain any value. Implausible ones are ignored.
-fn is_plausible(x: f64) -> bool {
-    x.is_finite() && (0.0..1e4).contains(&x)
+/// Whether a reported value can be right. Reports may contain any value; implausible ones are ignored.
+fn is_plausible(value: f64) -> bool {
+    value.is_finite() && (0.0..1e4).contains(&value)
 }
