--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -43,6 +43,7 @@
     sent: bool,
 }
 
+/// How far a session has come.
 enum Stage {
     /// The viewer's request is not answered yet; the answer goes to `viewer_conn`.
     Pending { viewer_conn: ConnectionId, request: Box<SetupRequest>, setup: Option<PendingSetup> },
@@ -54,6 +55,7 @@
 /// A pending request or a playing session.
 struct Session {
     stage: Stage,
+    /// SETUPs started so far. The last one has this number as its attempt.
     setup_count: u32,
     /// When the pending SETUP times out.
     setup_deadline: Ms,
@@ -68,7 +70,7 @@
     given_up: u64,
 }
 
-/// A release to be confirmed by a viewer, or waiting for a viewer's connection.
+/// A release that waits for a viewer's connection, or for the viewer's confirmation.
 struct PendingRelease {
     id: u64,
     cause: u32,
@@ -119,7 +121,7 @@
     engine_actions: Vec<Action>,
     io_actions: Vec<IoAction>,
     engine_next_call_at: Ms,
-    /// The time of the last call.
+    /// The time that the last call was given.
     last_call_at: Ms,
 }
 
@@ -128,10 +130,10 @@
     pub fn new(configuration: Configuration, now: Ms) -> Result<Node, String> {
         let mut settings =
             PolicySettings::parse(&configuration.settings_text).map_err(|e| format!("settings: {e}"))?;
-        // On this platform the list is always polled, whatever the settings say.
+        // On this platform the list of servers is always polled, whatever the settings say.
         settings.list_delivery = ListDelivery::Polled { grace: settings.drain_grace };
-        // The number of front nodes is the larger of the two that are stated: each sends its share of the
-        // load.
+        // Each front node sends its share of the load. Their number is the one in the settings or the length of
+        // the list of peers, whichever is larger.
         settings.front_count =
             settings.front_count.max(u32::try_from(configuration.peer_addresses.len()).unwrap_or(u32::MAX));
         settings.peer_messages_allowed &=
@@ -226,8 +228,8 @@
                 Action::SetRung { id, rung } => self.set_rung(id, rung),
                 Action::Probe { server } => self.probe(server, now),
                 Action::RequestList => self.request_list(),
-                Action::BusyReply { id, retry_after: come_back } => {
-                    self.send_final_answer(id, viewer::busy_response(id.0, come_back))
+                Action::BusyReply { id, retry_after } => {
+                    self.send_final_answer(id, viewer::busy_response(id.0, retry_after))
                 }
                 Action::TornDown { id } => self.send_final_answer(id, viewer::setup_failed_response(id.0)),
                 Action::SendPeerReports(reports) => self.send_peer_reports(&reports, now),
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -21,7 +21,7 @@
 const ACCEPT_PAUSE: Ms = 20.0;
 /// Connections accepted, and datagrams received on one socket, before other work is done, so that none is starved.
 const MAX_BATCH: usize = 64;
-/// Events returned by one poll.
+/// Most events returned by one poll.
 const EVENT_CAPACITY: usize = 256;
 
 // A connection is polled under its id; ids count up from one and never reach these.
@@ -197,8 +197,8 @@
         if self.accept_pending && self.viewer_count < self.max_viewers {
             timeout = timeout.min((self.accept_not_before - now).max(0.0));
         }
-        let datagrams = self.name_service.readable || self.peers.as_ref().is_some_and(|p| p.readable);
-        if datagrams || !self.read_queue.is_empty() {
+        let datagrams_pending = self.name_service.readable || self.peers.as_ref().is_some_and(|p| p.readable);
+        if datagrams_pending || !self.read_queue.is_empty() {
             timeout = 0.0;
         }
         timeout
@@ -264,7 +264,7 @@
 
     /// Accepts viewers' connections as long as there are fewer than `max_viewers`; returns whether it accepted any.
     fn accept_viewers(&mut self, max_viewers: usize) -> bool {
-        let mut any = false;
+        let mut accepted_any = false;
         for _ in 0..MAX_BATCH {
             let now = self.clock.now();
             if !self.accept_pending || now < self.accept_not_before || self.viewer_count >= max_viewers {
@@ -272,7 +272,7 @@
             }
             match self.listener.accept() {
                 Ok((stream, _)) => {
-                    any = true;
+                    accepted_any = true;
                     self.add_viewer(Socket::from_accepted(stream), now);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
@@ -284,7 +284,7 @@
                 }
             }
         }
-        any
+        accepted_any
     }
 
     fn add_viewer(&mut self, socket: Socket, now: Ms) {
@@ -394,7 +394,7 @@
         self.perform_actions();
     }
 
-    /// Closes a viewer's connection without open requests or sessions, unless data is in transit in either direction.
+    /// Closes a viewer's connection without open set-ups, unless it has unread data or a write backlog.
     fn close_if_idle(&mut self, conn: ConnectionId) {
         let now = self.clock.now();
         let Some(socket) = self.sockets.get(&conn) else { return };
@@ -443,10 +443,10 @@
             // Requests on connections accepted here are processed before the core is asked about the exit again.
             self.accept_pending = true;
             let accepted = self.accept_viewers(usize::MAX);
-            let all_read = |s: &Socket| s.peer_state() != PeerState::UnreadData;
+            let is_read = |s: &Socket| s.peer_state() != PeerState::UnreadData;
             let drained =
                 self.held_setups.is_empty() && self.backlogged.is_empty() && self.read_queue.is_empty();
-            if accepted || !drained || !self.sockets.values().all(all_read) {
+            if accepted || !drained || !self.sockets.values().all(is_read) {
                 return;
             }
         }
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -83,7 +83,7 @@
 /// answered. Returns an error when the node cannot start.
 pub fn run(options: StartOptions) -> Result<(), String> {
     let clock = Clock::start();
-    // Registered first: without a handler, a signal would end the process.
+    // Registered before anything else: a signal without a handler would end the process.
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGHUP,
         signal_hook::consts::SIGTERM,
@@ -91,16 +91,17 @@
     ])
     .map_err(|e| format!("signals: {e}"))?;
     let configuration = load_configuration(&options)?;
-    let peers = configuration.peer_listen_address.and_then(|at| match UdpSocket::bind(at) {
+    let peers = configuration.peer_listen_address.and_then(|address| match UdpSocket::bind(address) {
         Ok(socket) => Some(socket),
         // The node also works without the reports of other nodes.
         Err(e) => {
-            tracing::warn!("datagrams of other nodes: {at}: {e}");
+            tracing::warn!("datagrams of other nodes: {address}: {e}");
             None
         }
     });
     let node = Node::new(configuration, clock.now())?;
-    let bound = socket::listen(options.listen_address).and_then(|l| Ok((l.local_addr()?, l)));
+    let bound =
+        socket::listen(options.listen_address).and_then(|listener| Ok((listener.local_addr()?, listener)));
     let (address, listener) = bound.map_err(|e| format!("{}: {e}", options.listen_address))?;
     let name_service = UdpSocket::bind(SocketAddr::from(([0, 0, 0, 0], 0)))
         .map_err(|e| format!("socket for the name service: {e}"))?;
@@ -110,17 +111,17 @@
         Ok((hub::Hub::new(node, clock, poll, listener, name_service, peers)?, waker))
     };
     let (hub, waker) = create_hub().map_err(|e| format!("poll: {e}"))?;
-    let (messages, hub_messages) = channel();
-    let hub_sender = HubSender { messages, waker };
-    spawn_thread("hub", move || hub.run(&hub_messages))?;
-    let (reload, reload_requests) = channel();
-    let reload_sender = hub_sender.clone();
-    spawn_thread("configuration", move || serve_reloads(&options, &reload_requests, &reload_sender))?;
+    let (message_sender, message_receiver) = channel();
+    let hub_sender = HubSender { messages: message_sender, waker };
+    spawn_thread("hub", move || hub.run(&message_receiver))?;
+    let (reload_sender, reload_receiver) = channel();
+    let configuration_sender = hub_sender.clone();
+    spawn_thread("configuration", move || serve_reloads(&options, &reload_receiver, &configuration_sender))?;
     tracing::info!(target: "walnutline::mode", listen = %address, "node up");
     for signal in signals.forever() {
         if signal != signal_hook::consts::SIGHUP {
             hub_sender.send(HubMessage::Stop { at: clock.now() });
-        } else if reload.send(()).is_err() {
+        } else if reload_sender.send(()).is_err() {
             break;
         }
     }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -5,10 +5,10 @@
 /// Time within which a new viewer's connection has to bring a complete message. The platform expects an error
 /// or a close within 3 s.
 pub const VIEWER_FIRST_MESSAGE_TIMEOUT: Ms = 2_000.0;
-/// Time within which a message that a viewer has begun has to be complete: the body may follow its head by
-/// 2 s, and malformed messages have to be answered within 3 s as well.
+/// Time within which a message that a viewer has begun has to be complete. Its body may arrive up to 2 s after
+/// its head, and malformed messages have to be answered within 3 s as well.
 pub const VIEWER_MESSAGE_TIMEOUT: Ms = 2_500.0;
-/// Time within which a message that a server has begun has to be complete. Long for any network.
+/// Time within which a message that a server has begun has to be complete. Longer than any network takes.
 pub const SERVER_MESSAGE_TIMEOUT: Ms = 2_000.0;
 /// Unanswered set-ups on one viewer's connection. More is treated as a flood: each of them would be placed
 /// and cost a server work.
@@ -16,7 +16,7 @@
 /// Longest wait accepted from a viewer, as a multiple of the longest wait that is configured for any class. A
 /// larger value can only be a mistake.
 pub const MAX_WAIT_FACTOR: f64 = 10.0;
-/// Messages kept about sessions that have not been handed over yet, of each kind.
+/// Messages kept about sessions that have not been handed over yet, rungs and ends counted separately.
 pub const MAX_EARLY_MESSAGES: usize = 4_096;
 /// Time after the start for which messages about sessions that have not been handed over yet are kept.
 pub const EARLY_MESSAGE_PERIOD: Ms = 10_000.0;
@@ -49,15 +49,15 @@
 /// Time for which releases are kept that found no connection, or whose connection ended before they were
 /// confirmed.
 pub const RELEASE_RETENTION: Ms = 8_000.0;
-/// Releases kept at once.
+/// Releases kept at once: those without a connection, and the unconfirmed ones of each connection.
 pub const MAX_PENDING_RELEASES: usize = 4_096;
 /// Queries for the list of servers whose answers are still accepted: those of at least the last 10 s, at the
 /// rate of the shortest drain grace in use.
 pub const MAX_OPEN_LIST_QUERIES: usize = 64;
-/// A name service that has answered with lower serial numbers alone for this time has begun to number anew.
-/// After an older list that was served by mistake, newer ones follow within 4.5 s.
+/// A name service whose answers all had lower serial numbers than the list in force for this time has begun to
+/// number anew. An older list that was served by mistake is followed by newer ones within 4.5 s.
 pub const SERIAL_RESET_TIME: Ms = 5_000.0;
-/// Answers with a lower serial number that it takes as well.
+/// Consecutive answers with a lower serial number that are required in addition to [`SERIAL_RESET_TIME`].
 pub const SERIAL_RESET_ANSWERS: u32 = 4;
 /// Paths of changed settings written to the log when a new configuration is not applied.
 pub const MAX_LOGGED_PATHS: usize = 8;
@@ -101,13 +101,15 @@
 /// other.
 pub const MAX_CONSECUTIVE_READS: usize = 4;
 
-/// Viewers' connections held at once, for a limit on sockets and the number of servers listed at the start.
+/// Returns the number of viewers' connections held at once, for a limit on sockets and the number of servers
+/// listed at the start: at least a third of the sockets and at least 8, however many are reserved.
 pub fn max_viewer_connections(sockets: usize, servers: usize) -> usize {
     let reserved = RESERVED_DESCRIPTORS + DESCRIPTORS_PER_SERVER * servers.max(MIN_SERVERS_PLANNED_FOR);
     sockets.saturating_sub(reserved).max(sockets / 3).max(8)
 }
 
-/// Connections to servers held at once, whatever the number of servers.
+/// Returns the number of connections to servers held at once, for a limit on sockets and the number of
+/// viewers' connections: at least 4. There may be more servers than that.
 pub fn max_server_connections(sockets: usize, viewers: usize) -> usize {
     sockets.saturating_sub(RESERVED_DESCRIPTORS + viewers).max(4)
 }
