--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -73,17 +73,18 @@
 
     /// Closes viewers' connections that are overdue or idle.
     fn sweep_viewers(&mut self, now: Ms) {
-        let overdue = self.viewers.iter().filter(|(_, v)| {
-            let silent = !v.has_sent_message && now - v.accepted_at >= limits::VIEWER_FIRST_MESSAGE_TIMEOUT;
-            let message_overdue = v.partial_since.map(|t| now - t >= limits::VIEWER_MESSAGE_TIMEOUT);
+        let overdue = self.viewers.iter().filter(|(_, viewer)| {
+            let silent =
+                !viewer.has_sent_message && now - viewer.accepted_at >= limits::VIEWER_FIRST_MESSAGE_TIMEOUT;
+            let message_overdue = viewer.partial_since.map(|t| now - t >= limits::VIEWER_MESSAGE_TIMEOUT);
             // A connection that never brought a valid set-up needs no more answers. One that did is left to
             // its viewer to close while there is room: a set-up that crosses the close would go unread, and
             // has to be answered.
             let idle_timeout =
-                if v.has_sent_setup { Ms::INFINITY } else { limits::VIEWER_FIRST_MESSAGE_TIMEOUT };
+                if viewer.has_sent_setup { Ms::INFINITY } else { limits::VIEWER_FIRST_MESSAGE_TIMEOUT };
             // A message that has begun has its own time-out in place of the idle ones.
-            v.open_setups.is_empty()
-                && message_overdue.unwrap_or(silent || now - v.last_used_at >= idle_timeout)
+            viewer.open_setups.is_empty()
+                && message_overdue.unwrap_or(silent || now - viewer.last_used_at >= idle_timeout)
         });
         let overdue: Vec<ConnectionId> = overdue.map(|(conn, _)| *conn).collect();
         overdue.into_iter().for_each(|conn| self.io_actions.push(IoAction::CloseIfIdle { conn }));
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Closes servers' connections that are overdue or idle, opens those that are missing, and pings silent
+    /// Closes connections to servers that are overdue or idle, opens those that are missing, and pings silent
     /// servers.
     fn sweep_servers(&mut self, now: Ms) {
         let is_overdue = |since: Option<Ms>| since.is_some_and(|t| now - t >= limits::SERVER_MESSAGE_TIMEOUT);
@@ -102,29 +103,29 @@
         let mut close = Vec::new();
         let mut ping = Vec::new();
         let mut reconnect = Vec::new();
-        for (id, s) in &self.servers {
+        for (id, server) in &self.servers {
             // A server reports the ends of sessions on the next connection that is opened, and viewers have
             // to be told of them in time.
-            if s.connections.is_empty()
-                && s.needs_connection()
-                && now - s.closed_for_room_at >= limits::MAX_TIME_WITHOUT_CONNECTION
+            if server.connections.is_empty()
+                && server.needs_connection()
+                && now - server.closed_for_room_at >= limits::MAX_TIME_WITHOUT_CONNECTION
             {
                 reconnect.push(*id);
             }
-            let in_use = s.needs_connection();
-            let up: Vec<ConnectionId> = s
+            let in_use = server.needs_connection();
+            let up_connections: Vec<ConnectionId> = server
                 .connections
                 .iter()
                 .copied()
                 .filter(|conn| self.server_connections.get(conn).is_some_and(|c| c.up))
                 .collect();
-            for (n, conn) in up.iter().enumerate() {
+            for (index, conn) in up_connections.iter().enumerate() {
                 let connection = &self.server_connections[conn];
                 let busy = !connection.pending_setups.is_empty() || !connection.pending_options.is_empty();
-                let idle_timeout = match n {
+                let idle_timeout = match index {
                     // A release that crosses the close would be lost.
                     _ if in_use => Ms::INFINITY,
-                    0 if s.list_state == ServerState::Gone => 0.0,
+                    0 if server.list_state == ServerState::Gone => 0.0,
                     0 => self.configuration.idle_timeout_ms * limits::IDLE_TIMEOUT_SHARE,
                     _ => limits::EXTRA_CONNECTION_IDLE_TIMEOUT,
                 };
@@ -133,7 +134,7 @@
                 }
             }
             if let (true, Some(conn)) =
-                (in_use && now - s.last_seen_at >= limits::PING_AFTER_SILENCE, up.first())
+                (in_use && now - server.last_seen_at >= limits::PING_AFTER_SILENCE, up_connections.first())
             {
                 if self.server_connections[conn].pending_options.values().all(|p| *p != OptionsPurpose::Ping)
                 {
@@ -167,7 +168,7 @@
         let empty = self.sessions.is_empty() && self.pending_releases.is_empty() && !any_partial;
         let done = empty && now - requested_at >= limits::SHUTDOWN_REQUEST_PERIOD;
         if !any_pending && (done || now - requested_at >= session_time) {
-            // Close to the kill, waiting would lose the remaining input and output as well.
+            // Close to the kill, the remaining input and output are lost whether the process waits for them or not.
             self.io_actions.push(IoAction::Exit {
                 at_once: now - requested_at >= session_time + limits::SHUTDOWN_FLUSH_TIMEOUT,
             });
--- a/crates/node/src/core/peers.rs
+++ b/crates/node/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! Load reports between front nodes: the decision engine says what is sent and gets what is received.
+//! Load reports between front nodes: the decision engine chooses what is sent and is given what is received.
 use super::Node;
 use crate::actions::IoAction;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
     pub(super) fn send_peer_reports(&mut self, reports: &[PeerReport], now: Ms) {
         let Some(to) = self.configuration.peer_broadcast_address else { return };
         let to_status = |report: &PeerReport| {
-            let s = self.servers.get(&report.server)?;
-            let known_uptime_ms = (now - s.process_known_since).max(0.0);
+            let server = self.servers.get(&report.server)?;
+            let known_uptime_ms = (now - server.process_known_since).max(0.0);
             Some(ServerStatus {
-                name_hash: peers::hash_server_name(&s.name),
+                name_hash: peers::hash_server_name(&server.name),
                 age_ms: report.age,
                 stream_share: report.stream_use,
                 link_use: report.link_use,
--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -12,10 +12,12 @@
 use walnutline_platform::server;
 use walnutline_sessions::backoff::Backoff;
 
+/// A server that is listed or still in use.
 pub(super) struct Server {
     pub name: String,
     pub address: SocketAddr,
     pub list_state: ServerState,
+    /// When its process started, according to the list.
     pub started_at: Option<Ms>,
     pub connections: Vec<ConnectionId>,
     /// Sessions that play on it.
@@ -53,8 +55,10 @@
     Ping,
 }
 
+/// A connection to a server, from the attempt to open it to its end.
 pub(super) struct ServerConnection {
     pub server: ServerId,
+    /// Whether it has been opened.
     pub up: bool,
     pub reader: MessageReader,
     /// When a message began that is not complete yet.
@@ -330,9 +334,9 @@
         };
         // Not a connection on which an earlier SETUP of this session was cancelled: the answer to that one
         // may still come and would be taken for this one's.
-        let first = session.setup_count == 0;
+        let first_attempt = session.setup_count == 0;
         let usable = |conn: &ConnectionId| {
-            first || self.server_connections.get(conn).is_none_or(|c| !c.ended_setups.contains(&id))
+            first_attempt || self.server_connections.get(conn).is_none_or(|c| !c.ended_setups.contains(&id))
         };
         let best = server.connections.iter().copied().filter(usable).min_by_key(load);
         let free = best.filter(|c| load(c).1 == 0);
@@ -427,7 +431,7 @@
         self.setup_ended(id, outcome, now);
     }
 
-    /// Withdraws a SETUP, with a message to the server if it was sent.
+    /// Cancels a SETUP, with a message to the server if it was sent.
     pub(super) fn cancel_setup(&mut self, id: SessionId, setup: PendingSetup) {
         let Some(connection) = self.server_connections.get_mut(&setup.conn) else { return };
         connection.pending_setups.remove(&id);
@@ -520,7 +524,7 @@
         self.io_actions.push(IoAction::Write { conn, bytes });
     }
 
-    /// Handles an OPTIONS request without an answer in time. After a ping, a new connection shows whether the
+    /// Handles an OPTIONS request that was not answered in time. After a ping, a new connection shows whether the
     /// server is alive.
     pub(super) fn options_timed_out(&mut self, conn: ConnectionId, id: u64, now: Ms) {
         let Some(connection) = self.server_connections.get_mut(&conn) else { return };
--- a/crates/node/src/core/server_list.rs
+++ b/crates/node/src/core/server_list.rs
@@ -12,6 +12,7 @@
 use walnutline_platform::{discovery, ServerRecord};
 use walnutline_sessions::backoff::Backoff;
 
+/// The name service, and the state of the queries to it.
 pub(super) struct NameService {
     address: SocketAddr,
     /// Serial number of the list in force.
@@ -68,9 +69,9 @@
             return;
         }
         let id = u16::from_be_bytes([bytes[0], bytes[1]]);
-        let Some(at) = self.name_service.open_queries.iter().position(|q| *q == id) else { return };
+        let Some(index) = self.name_service.open_queries.iter().position(|q| *q == id) else { return };
         let Ok(answer) = discovery::parse_answer(bytes, id) else { return };
-        self.name_service.open_queries.remove(at);
+        self.name_service.open_queries.remove(index);
         if self.name_service.is_newer(answer.serial, now) {
             self.name_service.serial = answer.serial;
             self.replace_server_list(answer.servers, now);
@@ -101,16 +102,16 @@
         self.process_engine_actions(now);
     }
 
-    /// Replaces the whole list of servers.
+    /// Replaces the whole list of servers. Servers that are missing from it are removed once they are unused.
     pub(super) fn replace_server_list(&mut self, records: Vec<ServerRecord>, now: Ms) {
         let mut listed_ids = BTreeSet::new();
         let mut entries = Vec::new();
-        for n in self.configured_zone_count..self.configuration.zones.len() {
-            let name = &self.configuration.zones[n];
+        for index in self.configured_zone_count..self.configuration.zones.len() {
+            let name = &self.configuration.zones[index];
             let known_servers = self.engine.state.fleet.servers.values();
-            let in_use = known_servers.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == n);
+            let in_use = known_servers.map(|s| usize::from(s.entry.zone.0)).any(|zone| zone == index);
             if !in_use && records.iter().all(|r| r.zone != *name) {
-                self.configuration.zones[n] = String::new();
+                self.configuration.zones[index] = String::new();
             }
         }
         for record in records {
@@ -147,14 +148,14 @@
     /// server is left in the zone.
     fn zone_index(&mut self, name: &str) -> ZoneIndex {
         let zones = &mut self.configuration.zones;
-        let at = zones.iter().position(|z| *z == name).unwrap_or_else(|| {
+        let index = zones.iter().position(|z| *z == name).unwrap_or_else(|| {
             let free = (self.configured_zone_count..zones.len()).find(|n| zones[*n].is_empty());
-            let at = free.unwrap_or(zones.len());
-            zones.resize_with(zones.len().max(at + 1), String::new);
-            zones[at] = name.to_owned();
-            at
+            let index = free.unwrap_or(zones.len());
+            zones.resize_with(zones.len().max(index + 1), String::new);
+            zones[index] = name.to_owned();
+            index
         });
-        ZoneIndex(u16::try_from(at).unwrap_or(u16::MAX))
+        ZoneIndex(u16::try_from(index).unwrap_or(u16::MAX))
     }
 
     /// Ends the SETUPs that wait for a connection to a server that no longer accepts new sessions.
@@ -170,20 +171,20 @@
     fn update_server(&mut self, record: &ServerRecord, now: Ms) -> ServerId {
         let list_state = if record.draining { ServerState::Draining } else { ServerState::Ready };
         if let Some(id) = self.servers_by_name.get(&record.name).copied() {
-            let Some(s) = self.servers.get_mut(&id) else { return id };
-            s.list_state = list_state;
-            if s.address != record.address || s.started_at != record.started_unix_ms {
+            let Some(server) = self.servers.get_mut(&id) else { return id };
+            server.list_state = list_state;
+            if server.address != record.address || server.started_at != record.started_unix_ms {
                 // A new process at the same address often accepts connections seconds before the list reports
                 // it: connections and sessions begun since its start are its own.
-                let since = if s.address == record.address { record.started_unix_ms } else { None };
-                let since = since.unwrap_or(Ms::INFINITY);
-                (s.address, s.started_at) = (record.address, record.started_unix_ms);
-                let connections = s.connections.iter().copied();
-                let old = connections
-                    .filter(|conn| self.server_connections.get(conn).is_none_or(|c| c.opened_at < since));
-                let old: Vec<ConnectionId> = old.collect();
-                self.end_sessions_before(id, since, now);
-                old.into_iter().for_each(|conn| self.close_server_connection(conn, now));
+                let new_start = if server.address == record.address { record.started_unix_ms } else { None };
+                let cutoff = new_start.unwrap_or(Ms::INFINITY);
+                (server.address, server.started_at) = (record.address, record.started_unix_ms);
+                let connections = server.connections.iter().copied();
+                let old_connections = connections
+                    .filter(|conn| self.server_connections.get(conn).is_none_or(|c| c.opened_at < cutoff));
+                let old_connections: Vec<ConnectionId> = old_connections.collect();
+                self.end_sessions_before(id, cutoff, now);
+                old_connections.into_iter().for_each(|conn| self.close_server_connection(conn, now));
             }
             return id;
         }
@@ -214,13 +215,13 @@
     pub(super) fn remove_unused_servers(&mut self) {
         let Node { servers, servers_by_name, engine, .. } = self;
         let in_use: BTreeSet<ServerId> = engine.sessions.sessions.values().filter_map(|s| s.server).collect();
-        servers.retain(|id, s| {
-            let keep = s.list_state != ServerState::Gone
-                || !s.connections.is_empty()
-                || !s.sessions.is_empty()
+        servers.retain(|id, server| {
+            let keep = server.list_state != ServerState::Gone
+                || !server.connections.is_empty()
+                || !server.sessions.is_empty()
                 || in_use.contains(id);
             if !keep {
-                servers_by_name.remove(&s.name);
+                servers_by_name.remove(&server.name);
                 engine.state.fleet.servers.remove(id);
             }
             keep
--- a/crates/node/src/core/server_messages.rs
+++ b/crates/node/src/core/server_messages.rs
@@ -38,9 +38,10 @@
                         .then(|| connection.partial_since.unwrap_or(now));
                     return;
                 }
-                Err(bad) => {
+                Err(parse_error) => {
                     let name = self.servers.get(&server_id).map_or("", |s| &s.name);
-                    self.io_actions.push(IoAction::Log(format!("server {name}: {bad}; connection closed")));
+                    self.io_actions
+                        .push(IoAction::Log(format!("server {name}: {parse_error}; connection closed")));
                     return self.close_server_connection(conn, now);
                 }
             }
@@ -131,14 +132,14 @@
     ) {
         let Some(connection) = self.server_connections.get_mut(&conn) else { return };
         if !connection.pending_setups.remove(&id) {
-            let ended = connection.ended_setups.iter().position(|e| *e == id);
+            let ended_index = connection.ended_setups.iter().position(|e| *e == id);
             let wanted_there = match self.sessions.get(&id).map(|s| &s.stage) {
                 Some(Stage::Playing { server, .. }) => *server == server_id,
                 Some(Stage::Pending { setup: Some(setup), .. }) => setup.server == server_id,
                 _ => false,
             };
-            if let Some(at) = ended.filter(|_| status < 300) {
-                connection.ended_setups.remove(at);
+            if let Some(index) = ended_index.filter(|_| status < 300) {
+                connection.ended_setups.remove(index);
                 // The cancelled SETUP succeeded after all: the session is released, unless a later SETUP has
                 // placed it or may yet place it on the same server.
                 if !wanted_there {
--- a/crates/node/src/core/viewer_connections.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -10,6 +10,7 @@
 use walnutline_platform::rtsp::MessageReader;
 use walnutline_platform::viewer::{self, RequestError, SetupRequest, ViewerMessage};
 
+/// A viewer's connection.
 pub(super) struct Viewer {
     pub reader: MessageReader,
     pub accepted_at: Ms,
@@ -66,7 +67,7 @@
     }
 
     /// Handles the edge's refusal to close a connection, which has data on its way: a set-up received but not
-    /// yet read would be lost with it. At the limit, another one is closed instead.
+    /// yet read would be lost with it. Above the limit, another one is closed instead.
     pub fn connection_in_use(&mut self, conn: ConnectionId, now: Ms) {
         if let Some(viewer) = self.viewers.get_mut(&conn) {
             viewer.found_in_use_at = now;
@@ -129,9 +130,10 @@
                         .then(|| viewer.partial_since.unwrap_or(received_at));
                     return;
                 }
-                Err(bad) => {
+                Err(parse_error) => {
                     if viewer.has_sent_setup {
-                        self.io_actions.push(IoAction::Log(format!("viewer's connection {}: {bad}", conn.0)));
+                        self.io_actions
+                            .push(IoAction::Log(format!("viewer's connection {}: {parse_error}", conn.0)));
                     }
                     let error = RequestError { id: None, cseq: None, reason: String::new() };
                     self.send_error(conn, &error, 400);
