--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -18,8 +18,8 @@
     /// the server's connection can't take it now, [`crate::core::Node::setup_blocked`] is to be called
     /// instead.
     OfferSetup { id: SessionId, attempt: u32 },
-    /// Close a connection, after the writes requested before. The core has forgotten it and ignores any further
-    /// input from it.
+    /// Close a connection, after the writes requested before. The core has forgotten it and ignores any
+    /// further input from it.
     Close { conn: ConnectionId },
     /// Close a viewer's connection without open set-ups, unless data is on its way in either direction. The
     /// edge answers with [`crate::core::Node::connection_closed`] or
--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -88,7 +88,7 @@
         });
         let overdue: Vec<ConnectionId> = overdue.map(|(conn, _)| *conn).collect();
         overdue.into_iter().for_each(|conn| self.io_actions.push(IoAction::CloseIfIdle { conn }));
-        if self.viewers.len() > self.max_viewers {
+        if self.viewers.len() > self.max_viewer_connections {
             self.close_least_used_viewer(now);
         }
     }
@@ -168,7 +168,8 @@
         let empty = self.sessions.is_empty() && self.pending_releases.is_empty() && !any_partial;
         let done = empty && now - requested_at >= limits::SHUTDOWN_REQUEST_PERIOD;
         if !any_pending && (done || now - requested_at >= session_time) {
-            // Close to the kill, the remaining input and output are lost whether the process waits for them or not.
+            // Close to the kill, the remaining input and output are lost whether the process waits for them or
+            // not.
             self.io_actions.push(IoAction::Exit {
                 at_once: now - requested_at >= session_time + limits::SHUTDOWN_FLUSH_TIMEOUT,
             });
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -92,12 +92,12 @@
 pub struct Node {
     /// Makes the decisions on sessions.
     pub engine: DecisionEngine,
-    /// The configuration in force. Further zones of the list are added to those that it names.
+    /// The configuration in force. Zones of listed servers that it does not name are added to its own.
     configuration: Configuration,
     configured_zone_count: usize,
     sessions: BTreeMap<SessionId, Session>,
     viewers: BTreeMap<ConnectionId, Viewer>,
-    max_viewers: usize,
+    max_viewer_connections: usize,
     max_server_connections: usize,
     /// The viewer's connection that last brought a valid set-up.
     last_setup_conn: Option<ConnectionId>,
@@ -132,21 +132,24 @@
             PolicySettings::parse(&configuration.settings_text).map_err(|e| format!("settings: {e}"))?;
         // On this platform the list of servers is always polled, whatever the settings say.
         settings.list_delivery = ListDelivery::Polled { grace: settings.drain_grace };
-        // Each front node sends its share of the load. Their number is the one in the settings or the length of
-        // the list of peers, whichever is larger.
+        // Each front node sends its share of the load. Their number is the one in the settings or the length
+        // of the list of peers, whichever is larger.
         settings.front_count =
             settings.front_count.max(u32::try_from(configuration.peer_addresses.len()).unwrap_or(u32::MAX));
         settings.peer_messages_allowed &=
             configuration.peer_broadcast_address.is_some() && configuration.peer_listen_address.is_some();
         let servers = configuration.servers.clone();
-        let max_viewers = limits::max_viewer_connections(configuration.max_sockets, servers.len());
+        let max_viewer_connections = limits::max_viewer_connections(configuration.max_sockets, servers.len());
         let mut node = Node {
             engine: DecisionEngine::new(settings, configuration.seed, now),
             configured_zone_count: configuration.zones.len(),
             sessions: BTreeMap::new(),
             viewers: BTreeMap::new(),
-            max_viewers,
-            max_server_connections: limits::max_server_connections(configuration.max_sockets, max_viewers),
+            max_viewer_connections,
+            max_server_connections: limits::max_server_connections(
+                configuration.max_sockets,
+                max_viewer_connections,
+            ),
             last_setup_conn: None,
             servers: BTreeMap::new(),
             servers_by_name: BTreeMap::new(),
@@ -193,7 +196,7 @@
 
     /// The largest number of viewers' connections held at once.
     pub fn max_viewer_connections(&self) -> usize {
-        self.max_viewers
+        self.max_viewer_connections
     }
 
     /// Handles bytes from a connection, received at `received_at`.
--- a/crates/node/src/core/server_connections.rs
+++ b/crates/node/src/core/server_connections.rs
@@ -257,12 +257,12 @@
             && server.connect_failures > 0
             && end != ConnectionEnd::Unopened;
         let gone = server.list_state == ServerState::Gone && server.connections.is_empty();
-        let others =
+        let any_other_up =
             server.connections.iter().any(|other| self.server_connections.get(other).is_some_and(|c| c.up));
-        if end == ConnectionEnd::Refused && !others {
+        if end == ConnectionEnd::Refused && !any_other_up {
             server.unsent.clear();
         }
-        if end == ConnectionEnd::Refused && !others || !connection.up && silent || gone {
+        if end == ConnectionEnd::Refused && !any_other_up || !connection.up && silent || gone {
             self.end_all_sessions(server_id, now);
         } else if self.servers[&server_id].needs_connection() {
             if connection.up {
@@ -524,8 +524,8 @@
         self.io_actions.push(IoAction::Write { conn, bytes });
     }
 
-    /// Handles an OPTIONS request that was not answered in time. After a ping, a new connection shows whether the
-    /// server is alive.
+    /// Handles an OPTIONS request that was not answered in time. After a ping, a new connection shows whether
+    /// the server is alive.
     pub(super) fn options_timed_out(&mut self, conn: ConnectionId, id: u64, now: Ms) {
         let Some(connection) = self.server_connections.get_mut(&conn) else { return };
         let server_id = connection.server;
--- a/crates/node/src/core/viewer_connections.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -34,8 +34,8 @@
     /// that never brought a set-up, then the one idle for longest, and one with a message that has begun only
     /// as the last resort.
     pub fn viewer_accepted(&mut self, conn: ConnectionId, now: Ms) {
-        let full = self.viewers.len() >= self.max_viewers && !self.close_least_used_viewer(now);
-        if full && self.viewers.len() >= self.max_viewers + limits::EXTRA_VIEWER_CONNECTIONS {
+        let full = self.viewers.len() >= self.max_viewer_connections && !self.close_least_used_viewer(now);
+        if full && self.viewers.len() >= self.max_viewer_connections + limits::EXTRA_VIEWER_CONNECTIONS {
             return self.io_actions.push(IoAction::Close { conn });
         }
         let viewer = Viewer {
@@ -72,7 +72,7 @@
         if let Some(viewer) = self.viewers.get_mut(&conn) {
             viewer.found_in_use_at = now;
         }
-        if self.viewers.len() > self.max_viewers {
+        if self.viewers.len() > self.max_viewer_connections {
             self.close_least_used_viewer(now);
         }
     }
@@ -358,8 +358,8 @@
     }
 
     fn write_release(&mut self, release: PendingRelease, viewer_conn: Option<ConnectionId>) {
-        let open = viewer_conn.filter(|c| self.viewers.contains_key(c)).or(self.last_setup_conn);
-        match open.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
+        let open_conn = viewer_conn.filter(|c| self.viewers.contains_key(c)).or(self.last_setup_conn);
+        match open_conn.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
             Some((conn, viewer)) => {
                 self.io_actions.push(IoAction::Write {
                     conn,
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -370,22 +370,23 @@
     /// the viewer is unread.
     fn try_setup(&mut self, setup: HeldSetup) {
         let now = self.clock.now();
-        let Some((viewer, conn)) = self.node.offered_setup_connections(setup.id, setup.attempt) else {
+        let Some((viewer_conn, server_conn)) = self.node.offered_setup_connections(setup.id, setup.attempt)
+        else {
             return;
         };
-        let viewer_state = self.sockets.get(&viewer).map_or(PeerState::Closed, Socket::peer_state);
+        let viewer_state = self.sockets.get(&viewer_conn).map_or(PeerState::Closed, Socket::peer_state);
         if viewer_state == PeerState::UnreadData && now - setup.since < limits::MAX_SETUP_HOLD {
-            self.queue_for_reading(viewer);
+            self.queue_for_reading(viewer_conn);
             return self.held_setups.push(setup);
         }
         if viewer_state == PeerState::Closed {
-            self.remove_socket(viewer);
-            return self.node.connection_closed(viewer, ConnectionEnd::Closed, now);
+            self.remove_socket(viewer_conn);
+            return self.node.connection_closed(viewer_conn, ConnectionEnd::Closed, now);
         }
-        if self.sockets.get(&conn).is_some_and(Socket::has_backlog) {
+        if self.sockets.get(&server_conn).is_some_and(Socket::has_backlog) {
             self.node.setup_blocked(setup.id, setup.attempt, now);
         } else if let Some(bytes) = self.node.send_setup(setup.id, setup.attempt, now) {
-            self.write(conn, &bytes);
+            self.write(server_conn, &bytes);
         }
     }
 
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -5,8 +5,8 @@
 /// Time within which a new viewer's connection has to bring a complete message. The platform expects an error
 /// or a close within 3 s.
 pub const VIEWER_FIRST_MESSAGE_TIMEOUT: Ms = 2_000.0;
-/// Time within which a message that a viewer has begun has to be complete. Its body may arrive up to 2 s after
-/// its head, and malformed messages have to be answered within 3 s as well.
+/// Time within which a message that a viewer has begun has to be complete. Its body may arrive up to 2 s
+/// after its head, and malformed messages have to be answered within 3 s as well.
 pub const VIEWER_MESSAGE_TIMEOUT: Ms = 2_500.0;
 /// Time within which a message that a server has begun has to be complete. Longer than any network takes.
 pub const SERVER_MESSAGE_TIMEOUT: Ms = 2_000.0;
@@ -54,8 +54,8 @@
 /// Queries for the list of servers whose answers are still accepted: those of at least the last 10 s, at the
 /// rate of the shortest drain grace in use.
 pub const MAX_OPEN_LIST_QUERIES: usize = 64;
-/// A name service whose answers all had lower serial numbers than the list in force for this time has begun to
-/// number anew. An older list that was served by mistake is followed by newer ones within 4.5 s.
+/// A name service whose answers have had lower serial numbers than the list in force for this time has begun
+/// to number anew. An older list that was served by mistake is followed by newer ones within 4.5 s.
 pub const SERIAL_RESET_TIME: Ms = 5_000.0;
 /// Consecutive answers with a lower serial number that are required in addition to [`SERIAL_RESET_TIME`].
 pub const SERIAL_RESET_ANSWERS: u32 = 4;
