--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -261,10 +261,10 @@
             if text.starts_with("OPTIONS")
                 && harness.server_connections.get(&conn).is_some_and(|a| *a != address)
             {
-                let session = text.lines().find(|l| l.starts_with("Session")).unwrap();
+                let session_header = text.lines().find(|l| l.starts_with("Session")).unwrap();
                 harness.receive(
                     conn,
-                    &format!("RTSP/1.0 200 OK\r\nCSeq: 3\r\n{session}\r\nContent-Length: 0\r\n\r\n"),
+                    &format!("RTSP/1.0 200 OK\r\nCSeq: 3\r\n{session_header}\r\nContent-Length: 0\r\n\r\n"),
                 );
             }
         }
@@ -319,7 +319,7 @@
 
 const PEER: &str = "127.0.0.3:7946";
 
-/// A configuration with one peer.
+/// A configuration with the peer [`PEER`].
 fn with_peers() -> String {
     let peer_settings = format!("\"peer_listen\":\"127.0.0.1:7946\",\"peers\":[\"{PEER}\"],\"peers_all\":\"127.0.0.9:7946\",\"names\":");
     CONFIGURATION
@@ -858,6 +858,7 @@
             "{} ms late",
             harness.now - started_at - LIST_QUERY_INTERVAL_MS
         );
+        // Slots of 50 ms.
         (harness.now - started_at) as u32 / 50
     };
     let slots: std::collections::BTreeSet<u32> = (0..32).map(first_query_slot).collect();
@@ -895,6 +896,7 @@
     requested_at: f64,
 }
 
+/// Updates what has been observed with the messages written since the last call, and checks the invariants.
 fn check_written(
     harness: &mut Harness,
     observed: &mut BTreeMap<u64, ObservedSession>,
@@ -914,6 +916,7 @@
         } else if !to_server && text.contains("CSeq: 1") {
             session.answers += 1;
             prop_assert!(session.answers == 1, "answered {} times", session.answers);
+            // The wait limit of the request, and 40 ms to spare.
             prop_assert!(harness.now - session.requested_at <= 1_500.0 + 40.0, "answered late");
         }
     }
@@ -927,24 +930,24 @@
     /// session is released twice, and in the end every request has been answered.
     #[test]
     fn random_event_orders_keep_the_invariants(
-        steps in prop::collection::vec((0u8..9, any::<prop::sample::Index>()), 1..60)
+        events in prop::collection::vec((0u8..9, any::<prop::sample::Index>()), 1..60)
     ) {
         let mut harness = Harness::new();
         let viewer = harness.accept_viewer();
         let mut observed: BTreeMap<u64, ObservedSession> = BTreeMap::new();
-        for (step, which) in steps {
+        for (event, choice) in events {
             let open_setups: Vec<(u64, ConnectionId)> =
                 observed.iter().filter_map(|(id, session)| Some((*id, session.setup_on?))).collect();
-            let any_open_setup = (!open_setups.is_empty()).then(|| *which.get(&open_setups));
-            let any_id = (!observed.is_empty()).then(|| *which.get(&observed.keys().copied().collect::<Vec<_>>()));
-            match (step, any_open_setup, any_id) {
+            let any_open_setup = (!open_setups.is_empty()).then(|| *choice.get(&open_setups));
+            let any_id = (!observed.is_empty()).then(|| *choice.get(&observed.keys().copied().collect::<Vec<_>>()));
+            match (event, any_open_setup, any_id) {
                 (0 | 1, ..) => {
                     let id = observed.len() as u64 + 1;
                     observed.insert(id, ObservedSession { requested_at: harness.now, ..ObservedSession::default() });
                     harness.receive(viewer, &setup_request(id, ""));
                 }
                 (2 | 3, Some((id, conn)), _) => {
-                    let status = [200, 200, 453, 500, 454, 504][which.index(6)];
+                    let status = [200, 200, 453, 500, 454, 504][choice.index(6)];
                     observed.get_mut(&id).unwrap().setup_on = None;
                     harness.receive(conn, &setup_response(status, id, "x"));
                 }
@@ -958,7 +961,7 @@
                 (5, _, Some(id)) => {
                     let connections: Vec<ConnectionId> = harness.server_connections.keys().copied().collect();
                     if !connections.is_empty() {
-                        let conn = *which.get(&connections);
+                        let conn = *choice.get(&connections);
                         let session = observed.get_mut(&id).unwrap();
                         // A release before the response means that the SETUP has failed.
                         session.setup_on = session.setup_on.filter(|c| *c != conn);
@@ -970,7 +973,7 @@
                     harness.receive(viewer, &teardown);
                 }
                 _ => {
-                    for _ in 0..which.index(40) {
+                    for _ in 0..choice.index(40) {
                         harness.advance(10.0);
                         check_written(&mut harness, &mut observed)?;
                     }
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -11,6 +11,7 @@
 
 const NODE_COUNT: usize = 350;
 const SERVER_COUNT: usize = 400;
+/// Name of the last server of the list.
 const LAST_SERVER: &str = "s-0000018f";
 
 fn node_address(n: usize) -> String {
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -86,17 +86,19 @@
                     IoAction::OfferSetup { id, attempt } => {
                         // As in the edge: no SETUP is sent for a viewer that has closed, and it is held back for a
                         // viewer with unread data.
-                        let Some((viewer, conn)) = self.node.offered_setup_connections(id, attempt) else {
+                        let Some((viewer_conn, server_conn)) =
+                            self.node.offered_setup_connections(id, attempt)
+                        else {
                             continue;
                         };
-                        if self.unread_viewers.contains(&viewer) {
+                        if self.unread_viewers.contains(&viewer_conn) {
                             self.held_setups.push(IoAction::OfferSetup { id, attempt });
-                        } else if self.closed_viewers.contains(&viewer) {
-                            self.node.connection_closed(viewer, ConnectionEnd::Closed, self.now);
-                        } else if self.blocked_connections.contains(&conn) {
+                        } else if self.closed_viewers.contains(&viewer_conn) {
+                            self.node.connection_closed(viewer_conn, ConnectionEnd::Closed, self.now);
+                        } else if self.blocked_connections.contains(&server_conn) {
                             self.node.setup_blocked(id, attempt, self.now);
                         } else if let Some(bytes) = self.node.send_setup(id, attempt, self.now) {
-                            self.written.push((conn, String::from_utf8_lossy(&bytes).into_owned()));
+                            self.written.push((server_conn, String::from_utf8_lossy(&bytes).into_owned()));
                         }
                     }
                     IoAction::CloseIfIdle { conn } if self.unread_viewers.contains(&conn) => {
@@ -161,9 +163,9 @@
     /// Answers all open probes.
     pub fn answer_probes(&mut self) {
         while let Some((conn, probe)) = self.take_written("rtsp://media/load") {
-            let session = probe.lines().find(|l| l.starts_with("Session")).unwrap();
+            let session_header = probe.lines().find(|l| l.starts_with("Session")).unwrap();
             let report = "X-Circuits: inflight:1;x0:0.2\r\nContent-Length: 0\r\n\r\n";
-            self.receive(conn, &format!("RTSP/1.0 200 OK\r\nCSeq: 3\r\n{session}\r\n{report}"));
+            self.receive(conn, &format!("RTSP/1.0 200 OK\r\nCSeq: 3\r\n{session_header}\r\n{report}"));
         }
     }
 
@@ -205,7 +207,8 @@
     format!("RTSP/1.0 {status} X\r\nCSeq: 1\r\nSession: {id:016x}\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// The TEARDOWN that ends a session, with its cause.
+/// The TEARDOWN that ends a session, with its cause: 16 for a normal end, 31 for one by the viewer, 41 for an
+/// interruption.
 pub fn release_request(id: u64, cause: u32) -> String {
     format!(
         "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: {id:016x}\r\nReason: cause={cause}\r\n\
