--- a/crates/node/src/core/maintenance.rs
+++ b/crates/node/src/core/maintenance.rs
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Ends the process once no request is pending and either no session is left or the time for them is over.
+    /// Ends the process once no request is pending and either no session is left or the time for them is
+    /// over.
     fn exit_if_done(&mut self, now: Ms) {
         let Some(requested_at) = self.stop_requested_at else { return };
         let any_pending = self.sessions.values().any(|s| matches!(s.stage, Stage::Pending { .. }));
@@ -168,8 +169,8 @@
         let empty = self.sessions.is_empty() && self.pending_releases.is_empty() && !any_partial;
         let done = empty && now - requested_at >= limits::SHUTDOWN_REQUEST_PERIOD;
         if !any_pending && (done || now - requested_at >= session_time) {
-            // Close to the kill, the remaining input and output are lost whether the process waits for them or
-            // not.
+            // Close to the kill, the remaining input and output are lost whether the process waits for them
+            // or not.
             self.io_actions.push(IoAction::Exit {
                 at_once: now - requested_at >= session_time + limits::SHUTDOWN_FLUSH_TIMEOUT,
             });
--- a/crates/node/src/edge/hub.rs
+++ b/crates/node/src/edge/hub.rs
@@ -1,5 +1,5 @@
-//! The one thread that owns the core and all sockets. It polls the sockets, passes everything received to the core, and
-//! performs the core's actions at once.
+//! The one thread that owns the core and all sockets. It polls the sockets, passes everything received to the
+//! core, and performs the core's actions at once.
 use super::socket::{PeerRole, PeerState, ReadResult, Socket};
 use super::{Clock, HubMessage};
 use crate::actions::{ConnectionEnd, ConnectionId, IoAction};
@@ -19,7 +19,8 @@
 const RETRY_INTERVAL: Ms = 10.0;
 /// Pause before connections are accepted again after `accept` has failed, usually for want of a descriptor.
 const ACCEPT_PAUSE: Ms = 20.0;
-/// Connections accepted, and datagrams received on one socket, before other work is done, so that none is starved.
+/// Connections accepted, and datagrams received on one socket, before other work is done, so that none is
+/// starved.
 const MAX_BATCH: usize = 64;
 /// Most events returned by one poll.
 const EVENT_CAPACITY: usize = 256;
@@ -76,7 +77,8 @@
     sockets: HashMap<ConnectionId, Socket>,
     /// Number of viewers' connections in `sockets`.
     viewer_count: usize,
-    /// Limit of `viewer_count`: a few more than the core holds, which closes one for each that exceeds its own limit.
+    /// Limit of `viewer_count`: a few more than the core holds, which closes one for each that exceeds its
+    /// own limit.
     max_viewers: usize,
     /// There may be connections to accept.
     accept_pending: bool,
@@ -106,8 +108,8 @@
 }
 
 impl Hub {
-    /// Registers the listener and the datagram sockets with `poll`. Without `peers`, nothing is exchanged with other
-    /// nodes.
+    /// Registers the listener and the datagram sockets with `poll`. Without `peers`, nothing is exchanged
+    /// with other nodes.
     pub fn new(
         node: Node,
         clock: Clock,
@@ -119,7 +121,8 @@
         poll.registry().register(&mut listener, LISTENER_TOKEN, Interest::READABLE)?;
         let name_service =
             DatagramSocket::new(&poll, name_service, NAME_SERVICE_TOKEN, discovery::MAX_ANSWER_BYTES)?;
-        // One byte more than the limit, so that a longer datagram can be told from one of exactly that length.
+        // One byte more than the limit, so that a longer datagram can be told from one of exactly that
+        // length.
         let peers = peers
             .map(|p| DatagramSocket::new(&poll, p, PEERS_TOKEN, peers::MAX_DATAGRAM_BYTES + 1))
             .transpose()?;
@@ -143,8 +146,8 @@
         })
     }
 
-    /// Runs the event loop until the process ends. `messages` have a channel of their own, so that traffic on the
-    /// sockets does not delay them.
+    /// Runs the event loop until the process ends. `messages` have a channel of their own, so that traffic on
+    /// the sockets does not delay them.
     pub fn run(mut self, messages: &Receiver<HubMessage>) {
         let _guard = AbortOnPanic;
         let mut events = Events::with_capacity(EVENT_CAPACITY);
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Reads from the first connection of the read queue. The amount is limited, so that the others are not delayed; a
-    /// connection that may have more is queued again.
+    /// Reads from the first connection of the read queue. The amount is limited, so that the others are not
+    /// delayed; a connection that may have more is queued again.
     fn read_next(&mut self) {
         let Some(conn) = self.read_queue.pop_front() else { return };
         let Some(socket) = self.sockets.get_mut(&conn) else { return };
@@ -237,8 +240,8 @@
                 ReadResult::Bytes(n) => {
                     tracing::trace!(target: "walnutline::bytes", conn = conn.0, "in {}", buffer[..n].escape_ascii());
                     self.node.bytes_received(conn, &buffer[..n], self.last_wakeup, self.clock.now());
-                    // Answers are sent before anything else is processed: a session may end before its viewer has
-                    // received the answer.
+                    // Answers are sent before anything else is processed: a session may end before its viewer
+                    // has received the answer.
                     self.perform_actions();
                 }
                 ReadResult::WouldBlock => return,
@@ -262,7 +265,8 @@
         Some(socket)
     }
 
-    /// Accepts viewers' connections as long as there are fewer than `max_viewers`; returns whether it accepted any.
+    /// Accepts viewers' connections as long as there are fewer than `max_viewers`; returns whether it
+    /// accepted any.
     fn accept_viewers(&mut self, max_viewers: usize) -> bool {
         let mut accepted_any = false;
         for _ in 0..MAX_BATCH {
@@ -365,9 +369,9 @@
         }
     }
 
-    /// Sends a SETUP, but only for a viewer that is still connected. The kernel may hold the viewer's close or its
-    /// cancellation while the core has not read it, so the SETUP is held back, for a limited time, as long as data from
-    /// the viewer is unread.
+    /// Sends a SETUP, but only for a viewer that is still connected. The kernel may hold the viewer's close
+    /// or its cancellation while the core has not read it, so the SETUP is held back, for a limited time, as
+    /// long as data from the viewer is unread.
     fn try_setup(&mut self, setup: HeldSetup) {
         let now = self.clock.now();
         let Some((viewer_conn, server_conn)) = self.node.offered_setup_connections(setup.id, setup.attempt)
@@ -435,13 +439,15 @@
 
     // ---- end of the process ----
 
-    /// Ends the process if the core has requested it, unless received data is still unread or written data has not been
-    /// sent. Closing a connection with unread data sends a reset, which can also destroy an answer in transit.
+    /// Ends the process if the core has requested it, unless received data is still unread or written data
+    /// has not been sent. Closing a connection with unread data sends a reset, which can also destroy an
+    /// answer in transit.
     fn exit_if_drained(&mut self) {
         let Some(at_once) = self.requested_exit.take() else { return };
         if !at_once {
-            // The poll may not have reported new connections yet, and others were left waiting because of the limit.
-            // Requests on connections accepted here are processed before the core is asked about the exit again.
+            // The poll may not have reported new connections yet, and others were left waiting because of the
+            // limit. Requests on connections accepted here are processed before the core is asked about the
+            // exit again.
             self.accept_pending = true;
             let accepted = self.accept_viewers(usize::MAX);
             let is_read = |s: &Socket| s.peer_state() != PeerState::UnreadData;
@@ -454,9 +460,10 @@
         self.exit(at_once);
     }
 
-    /// Ends the process. Viewers' connections are first shut down for writing and read: closing one with unread data would
-    /// send a reset, which can destroy what is still in transit to the viewer. They are read to their end within the time
-    /// that the platform leaves before it kills the process; with `at_once`, only what is already there is read.
+    /// Ends the process. Viewers' connections are first shut down for writing and read: closing one with
+    /// unread data would send a reset, which can destroy what is still in transit to the viewer. They are
+    /// read to their end within the time that the platform leaves before it kills the process; with
+    /// `at_once`, only what is already there is read.
     fn exit(&mut self, at_once: bool) -> ! {
         let _ = socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both);
         let mut viewers: Vec<Socket> =
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -3,8 +3,8 @@
 //! - [`hub`]: the one thread that owns the core and polls all sockets.
 //! - [`socket`]: a non-blocking TCP connection with its write backlog.
 //!
-//! Signals are received on the thread that calls [`run`], and configuration files are read on a thread of their own,
-//! so that neither delays the other or the hub.
+//! Signals are received on the thread that calls [`run`], and configuration files are read on a thread of
+//! their own, so that neither delays the other or the hub.
 mod hub;
 mod socket;
 
@@ -30,8 +30,8 @@
     },
 }
 
-/// A clock of Unix milliseconds that never goes back: the wall clock is read once, at the start, and a monotonic clock
-/// counts from there.
+/// A clock of Unix milliseconds that never goes back: the wall clock is read once, at the start, and a
+/// monotonic clock counts from there.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     started_at: Instant,
@@ -79,8 +79,8 @@
     }
 }
 
-/// Runs a node until the process ends: after SIGTERM or SIGINT, the hub exits once every open request has been
-/// answered. Returns an error when the node cannot start.
+/// Runs a node until the process ends: after SIGTERM or SIGINT, the hub exits once every open request has
+/// been answered. Returns an error when the node cannot start.
 pub fn run(options: StartOptions) -> Result<(), String> {
     let clock = Clock::start();
     // Registered before anything else: a signal without a handler would end the process.
@@ -133,7 +133,8 @@
     spawned.map(drop).map_err(|e| format!("thread {name}: {e}"))
 }
 
-/// Reads the configuration file once for each request, in order, so that the hub receives the latest content last.
+/// Reads the configuration file once for each request, in order, so that the hub receives the latest content
+/// last.
 fn serve_reloads(options: &StartOptions, requests: &Receiver<()>, hub: &HubSender) {
     for () in requests {
         match load_configuration(options) {
--- a/crates/node/src/edge/socket.rs
+++ b/crates/node/src/edge/socket.rs
@@ -21,7 +21,8 @@
     pub connecting: bool,
     /// The connection is in the hub's read queue.
     pub queued_for_reading: bool,
-    /// A write failed or the backlog overflowed. The connection ends once everything that was received has been read.
+    /// A write failed or the backlog overflowed. The connection ends once everything that was received has
+    /// been read.
     broken: bool,
     /// Bytes that the kernel has not accepted yet.
     backlog: Vec<u8>,
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Writes `bytes` after the backlog and returns whether the connection is still usable. A connection that broke,
-    /// or whose backlog exceeds its limit, is shut down; reading then reports its end.
+    /// Writes `bytes` after the backlog and returns whether the connection is still usable. A connection that
+    /// broke, or whose backlog exceeds its limit, is shut down; reading then reports its end.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         let written = if self.backlog.is_empty() { self.try_write(bytes) } else { Ok(0) };
         match written {
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -30,8 +30,8 @@
     assert_eq!(harness.take_written("cause=16"), None);
 }
 
-/// Guards against two failures at hand-over: the session is refused for its wait limit of 71 minutes, or its rung,
-/// which the server reports before the session arrives, is lost.
+/// Guards against two failures at hand-over: the session is refused for its wait limit of 71 minutes, or its
+/// rung, which the server reports before the session arrives, is lost.
 #[test]
 fn session_handed_over_keeps_its_rung_and_is_released() {
     let mut harness = Harness::new();
@@ -70,8 +70,8 @@
     assert!(harness.closed.is_empty());
 }
 
-/// A second viewer uses the id of an open request with another description. The refusal carries no session id, so
-/// that it cannot be taken for an answer to the open request.
+/// A second viewer uses the id of an open request with another description. The refusal carries no session
+/// id, so that it cannot be taken for an answer to the open request.
 #[test]
 fn duplicate_id_is_refused_without_disturbing_the_open_request() {
     let mut harness = Harness::new();
@@ -119,8 +119,8 @@
     assert_eq!(harness.take_written("SETUP"), None);
 }
 
-/// A SETUP that timed out is cancelled before the next one is written. When its server accepts it all the same, that
-/// session is released.
+/// A SETUP that timed out is cancelled before the next one is written. When its server accepts it all the
+/// same, that session is released.
 #[test]
 fn late_success_response_is_released_at_once() {
     let mut harness = Harness::new();
@@ -139,8 +139,8 @@
     assert_eq!(harness.take_written("cause="), None);
 }
 
-/// A retry at the only eligible server uses another connection, so that a late response to the first SETUP cannot be
-/// taken for the response to the retry.
+/// A retry at the only eligible server uses another connection, so that a late response to the first SETUP
+/// cannot be taken for the response to the retry.
 #[test]
 fn late_response_to_an_earlier_setup_is_not_taken_for_the_retry() {
     let mut harness = Harness::new();
@@ -187,8 +187,8 @@
     assert!(harness.take_written("cause=16").is_some());
 }
 
-/// When a server process dies, its connections are reset and further ones are refused; only the refusal proves the
-/// death.
+/// When a server process dies, its connections are reset and further ones are refused; only the refusal
+/// proves the death.
 #[test]
 fn refused_reconnect_releases_sessions_and_a_reset_alone_does_not() {
     let mut harness = Harness::new();
@@ -272,9 +272,9 @@
     panic!("session not released within 8 s");
 }
 
-/// Data on a connection from before a presumed death proves the same process alive, unless it comes so soon that it
-/// may have been in transit. So does a connection that is established right after a reset, as no process restarts
-/// that fast; one that is established later may lead to a new process.
+/// Data on a connection from before a presumed death proves the same process alive, unless it comes so soon
+/// that it may have been in transit. So does a connection that is established right after a reset, as no
+/// process restarts that fast; one that is established later may lead to a new process.
 #[test]
 fn later_data_or_a_quick_reconnect_proves_a_server_alive() {
     let mut harness = Harness::new();
@@ -327,8 +327,8 @@
         .replace("\"probes\":true", "\"probes\":true,\"peer_messages\":true")
 }
 
-/// The budget of a cold server is divided by the number of nodes. Guards against too large a share where the settings
-/// state fewer nodes than there are peers, or none.
+/// The budget of a cold server is divided by the number of nodes. Guards against too large a share where the
+/// settings state fewer nodes than there are peers, or none.
 #[test]
 fn front_count_is_the_larger_of_settings_and_peer_list() {
     let front_count =
@@ -408,8 +408,8 @@
     }
 }
 
-/// The kernel still accepts connections for a stalled process, which answers nothing. Its sessions are kept, and
-/// repeated pings do not accumulate connections.
+/// The kernel still accepts connections for a stalled process, which answers nothing. Its sessions are kept,
+/// and repeated pings do not accumulate connections.
 #[test]
 fn stalled_server_keeps_its_sessions_and_connections_stay_bounded() {
     let mut harness = Harness::new();
@@ -421,8 +421,8 @@
     assert!(open <= limits::MAX_CONNECTIONS_PER_SERVER, "{open} connections");
 }
 
-/// A server repeats what may have been lost on the next connection that is opened. Guards against closing that
-/// connection, opened to check on a silent server, in place of an older one.
+/// A server repeats what may have been lost on the next connection that is opened. Guards against closing
+/// that connection, opened to check on a silent server, in place of an older one.
 #[test]
 fn newest_connection_to_a_silent_server_is_kept() {
     let mut harness = Harness::new();
@@ -526,8 +526,8 @@
     assert!(harness.exited);
 }
 
-/// Guards against an exit that waits for the next sweep: the kill follows 250 ms after the exit is due, and draining
-/// takes part of that time.
+/// Guards against an exit that waits for the next sweep: the kill follows 250 ms after the exit is due, and
+/// draining takes part of that time.
 #[test]
 fn stopping_node_exits_on_time() {
     let mut harness = Harness::new();
@@ -541,8 +541,8 @@
     assert!(harness.exited);
 }
 
-/// A viewer ends its session while the server is unreachable. The release is sent on the next connection that is opened
-/// for another reason; connections are not opened repeatedly for the release alone.
+/// A viewer ends its session while the server is unreachable. The release is sent on the next connection that
+/// is opened for another reason; connections are not opened repeatedly for the release alone.
 #[test]
 fn release_for_an_unreachable_server_waits_for_the_next_connection() {
     let mut harness = Harness::new();
@@ -597,7 +597,8 @@
     assert_eq!(harness.take_written("b=2").unwrap().0, second);
 }
 
-/// A lack of descriptors in this process is not a failure of the server: it is neither excluded nor presumed dead.
+/// A lack of descriptors in this process is not a failure of the server: it is neither excluded nor presumed
+/// dead.
 #[test]
 fn local_connect_failure_does_not_count_against_the_server() {
     let mut harness = Harness::new();
@@ -631,8 +632,8 @@
     }
 }
 
-/// A zone's index is free once no server is left in the zone. Guards against a table of zone names that grows without
-/// bound.
+/// A zone's index is free once no server is left in the zone. Guards against a table of zone names that grows
+/// without bound.
 #[test]
 fn zone_indexes_are_reused() {
     let mut harness = Harness::new();
@@ -664,7 +665,8 @@
     assert!(harness.exited);
 }
 
-/// When sockets are scarce, a server that has a connection gets no second one, and a server without gets its first.
+/// When sockets are scarce, a server that has a connection gets no second one, and a server without gets its
+/// first.
 #[test]
 fn total_server_connections_are_bounded() {
     let mut harness =
@@ -733,8 +735,8 @@
     assert_eq!(zones.len(), 1_024, "each zone that the settings do not name is a zone of its own");
 }
 
-/// Longest interval between list queries in milliseconds: short enough to learn of a drain within the grace period of
-/// the test configuration.
+/// Longest interval between list queries in milliseconds: short enough to learn of a drain within the grace
+/// period of the test configuration.
 const LIST_QUERY_INTERVAL_MS: f64 = 200.0;
 
 fn list_answer(harness: &Harness, serial: u32, server: Option<(&str, [u8; 4], u16)>) -> Vec<u8> {
@@ -750,8 +752,8 @@
     dns::list(&harness.list_queries.last().unwrap().1, serial, server.as_slice(), started)
 }
 
-/// A new server at the address of a removed one does not inherit its sessions, and a removed server is forgotten once
-/// it is unused.
+/// A new server at the address of a removed one does not inherit its sessions, and a removed server is
+/// forgotten once it is unused.
 #[test]
 fn older_lists_are_ignored_and_a_reused_address_inherits_nothing() {
     let mut harness = Harness::new();
@@ -782,8 +784,8 @@
     assert_eq!(harness.node.engine.state.fleet.servers.len(), 1, "removed servers are forgotten");
 }
 
-/// A restarted server is connected to seconds before the list reports its new start time. Guards against releasing the
-/// sessions of the new process at that update, 1,700 of them when a whole zone restarts.
+/// A restarted server is connected to seconds before the list reports its new start time. Guards against
+/// releasing the sessions of the new process at that update, 1,700 of them when a whole zone restarts.
 #[test]
 fn sessions_of_a_restarted_server_survive_the_list_update() {
     let mut harness = Harness::new();
@@ -812,8 +814,8 @@
     assert_eq!(harness.take_written("cause=16").unwrap().0, viewer);
 }
 
-/// A SETUP that is waiting for a connection when the list removes its server is never sent: the request is placed
-/// anew at once.
+/// A SETUP that is waiting for a connection when the list removes its server is never sent: the request is
+/// placed anew at once.
 #[test]
 fn setup_waiting_for_a_removed_server_is_withdrawn() {
     let mut harness = Harness::new();
@@ -926,8 +928,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random actions of viewers, servers and time: no request is answered twice or late, none has two SETUPs open, no
-    /// session is released twice, and in the end every request has been answered.
+    /// Random actions of viewers, servers and time: no request is answered twice or late, none has two SETUPs
+    /// open, no session is released twice, and in the end every request has been answered.
     #[test]
     fn random_event_orders_keep_the_invariants(
         events in prop::collection::vec((0u8..9, any::<prop::sample::Index>()), 1..60)
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -27,8 +27,8 @@
         .replace("\"probes\":true", "\"peer_messages\":true,\"probes\":true")
 }
 
-/// One answer replaces the whole list, and sessions are placed on its servers. Reports are accepted from every
-/// configured node, up to the last one, and from no other address.
+/// One answer replaces the whole list, and sessions are placed on its servers. Reports are accepted from
+/// every configured node, up to the last one, and from no other address.
 #[test]
 fn configuration_of_350_nodes_and_list_of_400_servers_are_applied() {
     let mut harness = Harness::with_configuration(&configuration());
@@ -70,9 +70,9 @@
     assert_eq!(reported_servers(&harness), before + 1, "a report from the last node is accepted");
 }
 
-/// After a long outage of the name service, a list arrives in which every server is new, while a SETUP is open at a
-/// server that it drops. The server's response still counts; when its connection closes instead, a new server is
-/// tried.
+/// After a long outage of the name service, a list arrives in which every server is new, while a SETUP is
+/// open at a server that it drops. The server's response still counts; when its connection closes instead, a
+/// new server is tried.
 #[test_case(true; "the server answers")]
 #[test_case(false; "its connection closes")]
 fn setup_open_at_a_server_dropped_by_a_late_list_is_answered(server_answers: bool) {
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A node's core without sockets, driven by simulated time: connections open and close on request of the test, and
-//! everything written is recorded.
+//! A node's core without sockets, driven by simulated time: connections open and close on request of the
+//! test, and everything written is recorded.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use walnutline_node::actions::{ConnectionEnd, ConnectionId, IoAction};
@@ -84,8 +84,8 @@
                         self.written.push((conn, String::from_utf8_lossy(&bytes).into_owned()))
                     }
                     IoAction::OfferSetup { id, attempt } => {
-                        // As in the edge: no SETUP is sent for a viewer that has closed, and it is held back for a
-                        // viewer with unread data.
+                        // As in the edge: no SETUP is sent for a viewer that has closed, and it is held back
+                        // for a viewer with unread data.
                         let Some((viewer_conn, server_conn)) =
                             self.node.offered_setup_connections(id, attempt)
                         else {
