--- a/crates/node/src/core/viewer_connections.rs
+++ b/crates/node/src/core/viewer_connections.rs
@@ -10,6 +10,7 @@
 use walnutline_platform::rtsp::MessageReader;
 use walnutline_platform::viewer::{self, RequestError, SetupRequest, ViewerMessage};
 
+/// A viewer's connection.
 pub(super) struct Viewer {
     pub reader: MessageReader,
     pub accepted_at: Ms,
@@ -33,8 +34,8 @@
     /// that never brought a set-up, then the one idle for longest, and one with a message that has begun only
     /// as the last resort.
     pub fn viewer_accepted(&mut self, conn: ConnectionId, now: Ms) {
-        let full = self.viewers.len() >= self.max_viewers && !self.close_least_used_viewer(now);
-        if full && self.viewers.len() >= self.max_viewers + limits::EXTRA_VIEWER_CONNECTIONS {
+        let full = self.viewers.len() >= self.max_viewer_connections && !self.close_least_used_viewer(now);
+        if full && self.viewers.len() >= self.max_viewer_connections + limits::EXTRA_VIEWER_CONNECTIONS {
             return self.io_actions.push(IoAction::Close { conn });
         }
         let viewer = Viewer {
@@ -66,12 +67,12 @@
     }
 
     /// Handles the edge's refusal to close a connection, which has data on its way: a set-up received but not
-    /// yet read would be lost with it. At the limit, another one is closed instead.
+    /// yet read would be lost with it. Above the limit, another one is closed instead.
     pub fn connection_in_use(&mut self, conn: ConnectionId, now: Ms) {
         if let Some(viewer) = self.viewers.get_mut(&conn) {
             viewer.found_in_use_at = now;
         }
-        if self.viewers.len() > self.max_viewers {
+        if self.viewers.len() > self.max_viewer_connections {
             self.close_least_used_viewer(now);
         }
     }
@@ -129,9 +130,10 @@
                         .then(|| viewer.partial_since.unwrap_or(received_at));
                     return;
                 }
-                Err(bad) => {
+                Err(parse_error) => {
                     if viewer.has_sent_setup {
-                        self.io_actions.push(IoAction::Log(format!("viewer's connection {}: {bad}", conn.0)));
+                        self.io_actions
+                            .push(IoAction::Log(format!("viewer's connection {}: {parse_error}", conn.0)));
                     }
                     let error = RequestError { id: None, cseq: None, reason: String::new() };
                     self.send_error(conn, &error, 400);
@@ -356,8 +358,8 @@
     }
 
     fn write_release(&mut self, release: PendingRelease, viewer_conn: Option<ConnectionId>) {
-        let open = viewer_conn.filter(|c| self.viewers.contains_key(c)).or(self.last_setup_conn);
-        match open.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
+        let open_conn = viewer_conn.filter(|c| self.viewers.contains_key(c)).or(self.last_setup_conn);
+        match open_conn.and_then(|c| Some((c, self.viewers.get_mut(&c)?))) {
             Some((conn, viewer)) => {
                 self.io_actions.push(IoAction::Write {
                     conn,
