--- a/crates/front/src/connection_monitor.rs
+++ b/crates/front/src/connection_monitor.rs
@@ -4,8 +4,9 @@
 //! to wait a moment wait for its next scan.
 //!
 //! The timers of the coroutine library are not used, because they have two faults. Among many reads with different
-//! time-outs, some never ended. And a sleep passes its coroutine to the timer's thread before it has finished with it
-//! itself: a sleep of zero length may be over, and the coroutine's memory freed, while the sleep still writes to it.
+//! time-outs, some never ended. And a sleep hands its coroutine to the timer's thread before it has finished its own
+//! work on it: the timer may resume the coroutine at once, and its memory may be freed while the sleep still writes to
+//! it. This happens with sleeps of zero length.
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
@@ -86,7 +87,7 @@
 }
 
 impl ConnectionTimer {
-    /// The timer of a connection that was opened now.
+    /// The timer of a connection that is opened at `now`.
     pub fn new(now: f64) -> Self {
         ConnectionTimer {
             since: AtomicU64::new(now.to_bits()),
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Records that a request begins to arrive; or, after a complete request, whether the next one already has.
+    /// Sets whether a request is partially received. The request time-out, or the idle time-out between requests,
+    /// begins at `now`.
     pub fn set_receiving(&self, receiving: bool, now: f64) {
         self.since.store(now.to_bits(), Ordering::SeqCst);
         self.receiving.store(receiving, Ordering::SeqCst);
--- a/crates/front/src/http_client.rs
+++ b/crates/front/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A client for long responses, which are read as they arrive: the list of boxes and the catalogue's publisher.
+//! A client for long responses, which are read as they arrive: the list of boxes and the catalogue.
 //!
 //! It speaks HTTP/1.0, so that responses are not chunked. Reads block, so it is for threads and not for coroutines.
 use std::io::{self, ErrorKind, Read, Write};
