--- a/crates/front/src/catalogue.rs
+++ b/crates/front/src/catalogue.rs
@@ -376,8 +376,8 @@
 
 /// Writes the counts as JSON, one count a line, and replaces the file atomically.
 fn write_difference_counts(file: &Path, counts: &DifferenceCounts) -> io::Result<()> {
-    let line = |(kind, server, n): &(DifferenceKind, Option<ServerId>, u64)| {
-        serde_json::json!({ "sort": kind.name(), "box": server.map(|s| s.0), "count": n }).to_string()
+    let line = |(kind, server, count): &(DifferenceKind, Option<ServerId>, u64)| {
+        serde_json::json!({ "sort": kind.name(), "box": server.map(|s| s.0), "count": count }).to_string()
     };
     let lines: Vec<String> = counts.iter().map(line).collect();
     let new_file = file.with_extension("json.new");
--- a/crates/front/src/hub.rs
+++ b/crates/front/src/hub.rs
@@ -48,6 +48,7 @@
 }
 
 impl SessionContext {
+    /// Creates the context of a new session, for which no token is minted yet.
     pub fn new(
         id: SessionId,
         title: String,
@@ -97,7 +98,7 @@
         /// The catalogue's version that the whole request is handled with.
         catalogue: Option<Arc<Version>>,
     },
-    /// The viewer is gone before it received its answer.
+    /// The viewer left before it received its answer.
     ViewerLeft(SessionId),
     /// A viewer asked for the current manifest of its session.
     ManifestRequested { id: SessionId, reply_to: may::sync::mpsc::Sender<ConnectionMessage> },
@@ -282,8 +283,8 @@
         let group = &self.shared.service_groups[context.group_index].name;
         let rungs = self.shared.ladder_kb_per_s.len();
         let compared = ComparedRequest { title: &context.title, group, holders: &request.holders, rungs };
-        for d in advisor.record_request(version, &compared, now) {
-            let (difference, server) = (d.kind.name(), d.server.map(|s| s.0));
+        for found in advisor.record_request(version, &compared, now) {
+            let (difference, server) = (found.kind.name(), found.server.map(|s| s.0));
             tracing::info!(target: "walnutline::catalogue", title = context.title, difference, server, "differs");
         }
         self.differences_submitted.1 = true;
@@ -317,8 +318,8 @@
                 }
             }
             IoAction::Send { server, conn, cseq, request } => {
-                if let Some((c, connection)) = self.connections.get(&server) {
-                    if *c == conn {
+                if let Some((open_conn, connection)) = self.connections.get(&server) {
+                    if *open_conn == conn {
                         let _ = connection.sender.send(OutgoingMessage::Request { cseq, request });
                     }
                 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`boxes`]: control connections to boxes.
 //! - [`list`]: follows the list of boxes.
 //! - [`catalogue`]: follows and stores the catalogue of titles.
-//! - [`http_client`]: streamed responses, as the list and the catalogue are fetched with.
+//! - [`http_client`]: client for streamed responses, which fetches the list and the catalogue.
 //! - [`clock`]: the clock of the process.
 pub mod authorizer;
 pub mod boxes;
@@ -45,7 +45,7 @@
     pub authorizer: Authorizer,
     /// Limits on viewers' connections.
     pub viewer_limits: ViewerLimits,
-    /// Times that are written into manifests.
+    /// Times that apply to manifests and to the session tokens in them.
     pub manifest: ManifestSettings,
     /// Rate of each rung of the ladder.
     pub ladder_kb_per_s: Vec<f64>,
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -36,8 +36,8 @@
     Disconnected,
 }
 
-/// Generates session ids. Each process starts at a random number, so that boxes never receive the same id from two
-/// processes.
+/// Generates session ids. Each process starts at a random number, so that two processes are most unlikely to give a
+/// box the same id.
 struct SessionIds(AtomicU64);
 
 impl SessionIds {
@@ -64,11 +64,11 @@
 }
 
 fn start_connection(shared: &Arc<Shared>, session_ids: &Arc<SessionIds>, stream: TcpStream) {
-    let open = shared.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
+    let open_count = shared.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
     let _ = stream.set_nodelay(true);
-    let full = open > shared.viewer_limits.max_connections;
+    let over_limit = open_count > shared.viewer_limits.max_connections;
     match stream.inner().try_clone() {
-        Ok(socket) if !full => {
+        Ok(socket) if !over_limit => {
             let (sender, messages) = mpsc::channel();
             let connection = Arc::new(Connection {
                 shared: shared.clone(),
@@ -195,7 +195,7 @@
         let mut queue: VecDeque<Result<Request, RequestError>> = VecDeque::new();
         let mut pending: Option<PendingRequest> = None;
         while let Ok(message) = messages.recv() {
-            let open = match message {
+            let stays_open = match message {
                 ConnectionMessage::Request(request) => {
                     queue.push_back(Ok(request));
                     true
@@ -226,7 +226,7 @@
                     false
                 }
             };
-            if !open {
+            if !stays_open {
                 break;
             }
             while pending.is_none() {
@@ -388,7 +388,7 @@
 enum Handled {
     /// The hub will reply to it.
     Pending { id: SessionId, renewal: bool },
-    /// It is answered with this.
+    /// It is answered at once, with this response.
     Answered(Response),
 }
 
@@ -417,7 +417,7 @@
     percent_encoding::percent_decode_str(name).decode_utf8_lossy().into_owned()
 }
 
-/// The number by which the placement decisions know a title: the first 8 bytes of its SHA-256 hash.
+/// The number that identifies a title in the placement decisions: the first 8 bytes of its SHA-256 hash.
 fn title_id(title: &str) -> TitleId {
     let hash = walnutline_dash::token_hash(title);
     TitleId(u64::from_le_bytes(std::array::from_fn(|n| hash[n])))
