--- a/crates/settings/src/catalogue_document.rs
+++ b/crates/settings/src/catalogue_document.rs
@@ -141,12 +141,12 @@
 
     #[test]
     fn a_valid_document_becomes_a_version() {
-        let v = parse("c.kdl", VALID).unwrap();
-        assert_eq!((v.number(), v.len(), v.under_replicated_counts()), (12, 1, (0, 1)));
-        let t = v.title("water").unwrap().unpack();
-        assert_eq!((t.rates, t.group_mask, t.duration_ms), (vec![180.0, 360.5], 2, 60_000));
-        assert_eq!(t.holders, [ServerId(3), ServerId(4)]);
-        assert_eq!(v.rack_contents(RackId(1)).0, t.holders);
+        let version = parse("c.kdl", VALID).unwrap();
+        assert_eq!((version.number(), version.len(), version.under_replicated_counts()), (12, 1, (0, 1)));
+        let title = version.title("water").unwrap().unpack();
+        assert_eq!((title.rates, title.group_mask, title.duration_ms), (vec![180.0, 360.5], 2, 60_000));
+        assert_eq!(title.holders, [ServerId(3), ServerId(4)]);
+        assert_eq!(version.rack_contents(RackId(1)).0, title.holders);
     }
 
     #[test]
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -41,7 +41,7 @@
         self.in_range(number, name, min, max)
     }
 
-    /// A duration in milliseconds, at most a day.
+    /// A duration in milliseconds, from 1 ms to one day.
     fn duration_ms(&mut self, number: Number, name: &str) -> Ms {
         self.in_range(number, name, 1.0, 86_400_000.0)
     }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -341,7 +341,7 @@
     pub until: Option<Text>,
 }
 
-/// Times that are written into manifests.
+/// Times that apply to manifests and to the session tokens in them.
 #[derive(knus::Decode)]
 pub struct ManifestNode {
     /// Duration of a segment.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -44,7 +44,7 @@
     pub authorization: AuthorizationPolicy,
     /// Maximum number of proofs stored for replay detection.
     pub max_stored_proofs: usize,
-    /// Values written into manifests.
+    /// Times that apply to manifests and to the session tokens in them.
     pub manifest: ManifestSettings,
     /// `None`: the front has no catalogue.
     pub catalogue: Option<CatalogueSettings>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Reads a settings document from a file. Relative paths of key files are resolved against the document's folder.
+/// Reads a settings document from a file. Relative paths in it are resolved against its folder.
 pub fn load(path: &Path) -> Result<FrontSettings, Vec<DocumentError>> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
@@ -135,10 +135,12 @@
     check::front_settings(document, folder).map_err(|errors| errors.into_iter().map(located).collect())
 }
 
-/// Maximum nesting of braces. The KDL parser recurses at each level, so unlimited depth would overflow the stack.
+/// Maximum nesting of braces. The KDL parser recurses at each level, so unlimited depth would overflow the stack. Valid
+/// documents need one level.
 const MAX_NESTING_DEPTH: usize = 16;
 
-/// Offset at which braces are nested too deep. Braces within strings count too: no valid document has so many.
+/// Offset at which braces are nested too deep. Braces within strings are counted too; valid documents have too few of
+/// them to reach the limit.
 fn find_excessive_nesting(text: &str) -> Option<usize> {
     let mut depth = 0usize;
     for (offset, byte) in text.bytes().enumerate() {
