--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,1 +1,1 @@
-
+//! The `walnutline` command is in `main.rs`; this library is empty.
