--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// A busy reply. `Retry-After` has whole seconds (RFC 9110), so `Retry-After-Ms` states the exact time.
+/// A busy reply. `Retry-After` is in whole seconds (RFC 9110), so `Retry-After-Ms` states the exact time.
 pub fn busy(reason: &str, retry_after_ms: f64) -> Response {
     let mut response = Response::plain_text(503, reason);
     response.headers.push(("Retry-After", format!("{}", (retry_after_ms / 1_000.0).ceil())));
@@ -25,7 +25,7 @@
     response
 }
 
-/// What a busy reply asks the viewer to wait when the refusal is only temporary.
+/// The wait that a busy reply asks for after a refusal that is only temporary.
 const REFUSAL_RETRY_AFTER_MS: f64 = 1_000.0;
 
 /// The response to a request that was not authorized.
--- a/crates/front/src/viewer.rs
+++ b/crates/front/src/viewer.rs
@@ -21,7 +21,7 @@
 use walnutline_catalogue::version::Version;
 use walnutline_sessions::session_manager::SessionRequest;
 
-/// What busy replies to connections beyond the limit ask the viewer to wait.
+/// The wait that a busy reply asks for when the limit on connections is reached.
 const CONNECTION_LIMIT_RETRY_AFTER_MS: f64 = 1_000.0;
 
 /// A message to the coroutine that answers a connection's requests.
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -274,7 +274,7 @@
     /// For the answer to a probe.
     #[knus(property)]
     pub probe: Number,
-    /// Without anything received from a box, the list or the publisher.
+    /// For a connection on which nothing arrives from a box, the list or the publisher.
     #[knus(property)]
     pub silence: Number,
     /// Part of a viewer's wait that is reserved for delivering the answer.
@@ -333,7 +333,7 @@
     /// File with the key's 32 bytes as base64url, relative to the document's folder.
     #[knus(property)]
     pub file: Text,
-    /// When the key becomes valid (RFC 3339); without it, always before `until`.
+    /// When the key becomes valid (RFC 3339); without it, the key is valid at any time before `until`.
     #[knus(property)]
     pub from: Option<Text>,
     /// When the key becomes invalid (RFC 3339); without it, never.
