--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -27,24 +27,24 @@
 
 /// Checks a settings document and prints a summary of it.
 pub fn check(file: &Path) -> Result<(), String> {
-    let deployment = load(file)?;
+    let settings = load(file)?;
     println!(
         "{}: good; {} service groups, {} rungs",
         file.display(),
-        deployment.service_groups.len(),
-        deployment.policy.rung_kb_per_s.len()
+        settings.service_groups.len(),
+        settings.policy.rung_kb_per_s.len()
     );
     Ok(())
 }
 
 /// Runs a front until SIGTERM or SIGINT, and reloads its keys at each SIGHUP.
 pub fn run(args: Args) -> Result<(), String> {
-    let deployment = load(&args.file)?;
+    let settings = load(&args.file)?;
     // Every open request is answered within the longest waiting time of any service group.
-    let max_wait_ms = deployment.service_groups.iter().map(|(_, wait_ms)| *wait_ms).fold(0.0, f64::max);
+    let max_wait_ms = settings.service_groups.iter().map(|(_, wait_ms)| *wait_ms).fold(0.0, f64::max);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
-    let listen = deployment.listen_address;
-    let front = walnutline_front::start(deployment, args.workers).map_err(|e| format!("{listen}: {e}"))?;
+    let listen = settings.listen_address;
+    let front = walnutline_front::start(settings, args.workers).map_err(|e| format!("{listen}: {e}"))?;
     if let Some(file) = &args.address_file {
         // Renamed into place: whoever waits for the file must not read it half written.
         let partial_file = file.with_extension("part");
@@ -57,8 +57,8 @@
             break;
         }
         match load(&args.file) {
-            Ok(deployment) => {
-                front.reload_keys(deployment);
+            Ok(settings) => {
+                front.reload_keys(settings);
                 tracing::info!(target: "walnutline::mode", "keys taken anew");
             }
             Err(errors) => tracing::error!("keys stay as they were: {errors}"),
