--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -40,6 +40,7 @@
     Catalogue(bench_catalogue::Args),
 }
 
+/// Number of simulated boxes.
 const BOXES: u32 = 12;
 /// Sessions end soon: the cost of a decision grows with the number of open sessions, which is not measured here.
 const SESSION_DURATION_MS: f64 = 50.0;
@@ -117,6 +118,8 @@
         let directory = TempFolder::new()?;
         let script = walnutline_rehearsal::script::parse("bench", "boxes 12 in 3 racks\nfronts 1")?;
         let recorder = Arc::new(Recorder::create(&directory.0.join("records.jsonl"))?);
+        // The boxes' capacity and, below, the retry budget are raised so that neither limits the load. All other limits
+        // stay as in a rehearsal.
         let mut box_settings = deployment::box_settings(&script);
         (box_settings.max_streams, box_settings.link_kb_per_s, box_settings.uplink_kb_per_s) =
             (1_000_000, 1e10, 1e11);
@@ -125,7 +128,6 @@
         directory.write("f0.secret", &encode_base64url(session_key.as_bytes()))?;
         let (list_server, list_address) =
             ListServer::start(recorder.clone(), 0.0).map_err(|e| format!("list: {e}"))?;
-        // Raises the limits on what the boxes can carry, and leaves all others as they are.
         let document = deployment::front_document(
             &script,
             &box_settings,
--- a/crates/cli/src/bench_catalogue.rs
+++ b/crates/cli/src/bench_catalogue.rs
@@ -18,6 +18,7 @@
 use walnutline_catalogue::version::{BoxState, Version, VersionBuilder};
 use walnutline_rehearsal::publisher::Publisher;
 
+/// Number of boxes that the sample titles are spread over.
 const BOXES: u32 = 300;
 /// Number of look-ups in each measurement.
 const LOOKUPS: u32 = 200_000;
@@ -59,7 +60,7 @@
     Title { name, rates, group_mask: 1 + number % 3, duration_ms: rng.u32(10_000..600_000), holders }
 }
 
-/// A version with so many sample titles.
+/// A version with this many sample titles.
 fn sample_version(titles: u32) -> Version {
     let groups = vec!["council-notice".into(), "board-loop".into()];
     let mut builder = VersionBuilder::new(1, groups, None).expect("two groups");
@@ -326,7 +327,7 @@
     println!("exact table: {:.0} ns a request, {} entries", per_request_ns(exact_s), exact.len());
 }
 
-/// Measures what changes, a snapshot load and a swap cost for a version of so many titles.
+/// Measures what changes, a snapshot load and a swap cost for a version with this many titles.
 fn measure_version_changes(titles: u32) -> Result<(), String> {
     let mut writer = VersionWriter::default();
     let before = resident_bytes("self");
