--- a/crates/cli/tests/catalogue.rs
+++ b/crates/cli/tests/catalogue.rs
@@ -129,7 +129,7 @@
     let sent: Vec<u32> = setups_received(&deployment.log)[before..].iter().map(|setup| setup.1).collect();
     assert!(sent.iter().all(|id| *id != 0), "a box that no request named got a SETUP: {sent:?}");
     assert_eq!(&sent[..2], [2, 1]);
-    // A title that is not in the catalogue, on a box that is not among its holders.
+    // A title that is not in the catalogue is placed by the request's holders alone.
     assert_eq!(viewer.fetch_manifest(deployment.front.address, "other", &[2]).box_id(), 2);
     let store = deployment.store.path().to_str().unwrap();
     // The counts are stored periodically.
@@ -287,16 +287,16 @@
     assert_eq!(lowest_rate(&without_catalogue, &viewer, "water"), 200, "the rate of the ladder");
 }
 
-/// With a value for `probes-each`, the holders of titles in demand are probed ahead of the next request. The
+/// With `probes-each` above 0, the holders of titles in demand are probed ahead of the next request. The
 /// decisions send no probes of their own here, and all requests name box 0 alone, so that a probe of box 2 can only
 /// be one sent ahead.
-#[test_case("0.2", true; "with a probe cost")]
-#[test_case("0", false; "without a probe cost")]
-fn holders_of_titles_in_demand_are_probed_ahead(probe_cost: &str, expects_probe: bool) {
+#[test_case("0.2", true; "with a probe budget")]
+#[test_case("0", false; "without a probe budget")]
+fn holders_of_titles_in_demand_are_probed_ahead(probes_each: &str, expects_probe: bool) {
     let deployment =
         start_deployment_with(version(7, &[title("water", 111.0, &[0, 1, 2])], &[]), |document| {
             let without_probes = document.replace("via=\"probe\"", "via=\"none\"");
-            without_probes.replace("probes-each=0.2", &format!("probes-each={probe_cost}"))
+            without_probes.replace("probes-each=0.2", &format!("probes-each={probes_each}"))
         });
     deployment.wait_for_rate("water", 111);
     let probes = |of: u32| {
