--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -104,7 +104,8 @@
     assert!(matches!(error, BrokenPipe | ConnectionReset), "{error:?}");
 }
 
-/// More silent connections than the node has descriptors: they are closed for viewers that send requests.
+/// More silent connections than the node has descriptors: they are closed to make room for
+/// viewers that send requests.
 #[test]
 fn silent_connections_are_closed_when_descriptors_run_short() {
     let node = TestNode::start();
--- a/crates/cli/tests/support/node.rs
+++ b/crates/cli/tests/support/node.rs
@@ -85,8 +85,8 @@
             .replace("\"sockets\":256", "\"sockets\":128")
             .replace("127.0.0.1:5061", &server_address.to_string())
             .replace("127.0.0.1:1053", &name_service.local_addr().unwrap().to_string())
-            // The last change in the list removes s-00000003: under that name the second server goes, and one is
-            // left.
+            // The last change in the list removes s-00000003. With the second server renamed to that, only the first
+            // one is left.
             .replace("\"instanceId\":\"s-00000002\",", "\"instanceId\":\"s-00000003\",");
         std::fs::write(&configuration_path, edit_configuration(text)).unwrap();
         let (process, address, log_lines) = spawn_node(&configuration_path, "127.0.0.1:0", max_descriptors);
@@ -152,7 +152,7 @@
     listen: &str,
     max_descriptors: usize,
 ) -> (Child, SocketAddr, Receiver<String>) {
-    // The process gets no more descriptors than its configuration states.
+    // `ulimit` enforces `max_descriptors`. With 128 the process gets as many as its configuration states.
     let mut process = Command::new("sh")
         .args(["-c", &format!("ulimit -n {max_descriptors}; exec \"$0\" --json-log node")])
         .arg(env!("CARGO_BIN_EXE_walnutline"))
