--- a/crates/auth/src/authorization.rs
+++ b/crates/auth/src/authorization.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AuthorizationPolicy {
     /// Maximum age of a proof, in milliseconds.
-    pub max_proof_age_ms: UnixMs,
+    pub max_proof_age_ms: f64,
     /// Maximum difference between two clocks, in milliseconds.
-    pub clock_skew_ms: UnixMs,
+    pub clock_skew_ms: f64,
 }
 
 /// Why a request is not authorized. No SETUP is sent for a refused request.
@@ -125,7 +125,7 @@
 
 impl AuthorizationPolicy {
     /// How long a used proof must stay in the replay cache, in milliseconds.
-    pub fn replay_window_ms(&self) -> UnixMs {
+    pub fn replay_window_ms(&self) -> f64 {
         self.max_proof_age_ms + 2.0 * self.clock_skew_ms
     }
 
--- a/crates/auth/src/replay.rs
+++ b/crates/auth/src/replay.rs
@@ -3,7 +3,7 @@
 //!
 //! The cache holds two generations of proof digests. A proof is looked up in both and inserted into the current one.
 //! Once the current generation is a window old, it becomes the previous one. A proof is thus evicted one to three
-//! windows after its use, when it is long stale. Memory is bounded by `max_per_generation` proofs of 16 bytes each in
+//! windows after its use, when it is no longer valid. Memory is bounded by `max_per_generation` proofs of 16 bytes each in
 //! each generation, plus the overhead of the hash tables. Proofs beyond that are refused: evicting a proof early
 //! would allow it to be replayed.
 use crate::UnixMs;
@@ -29,14 +29,15 @@
 pub struct ReplayCache {
     current: HashSet<ProofDigest>,
     previous: HashSet<ProofDigest>,
+    /// When the current generation began.
     rotated_at: UnixMs,
-    window_ms: UnixMs,
+    window_ms: f64,
     max_per_generation: usize,
 }
 
 impl ReplayCache {
     /// Creates an empty cache. `window_ms` is how long after its first possible use a proof may still be valid.
-    pub fn new(window_ms: UnixMs, max_per_generation: usize) -> Self {
+    pub fn new(window_ms: f64, max_per_generation: usize) -> Self {
         ReplayCache {
             current: HashSet::new(),
             previous: HashSet::new(),
--- a/crates/control/src/box_list.rs
+++ b/crates/control/src/box_list.rs
@@ -37,7 +37,7 @@
     pub name: String,
     /// Whether the box accepts sessions.
     pub state: BoxState,
-    /// Number of the rack that the box stands in.
+    /// Number of the rack that the box is in.
     pub rack: u32,
     /// Index of the building in the settings.
     pub building: u8,
--- a/crates/control/src/event_stream.rs
+++ b/crates/control/src/event_stream.rs
@@ -79,7 +79,7 @@
         let line = String::from_utf8(line).map_err(|e| self.error(format!("not UTF-8: {e}")))?;
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
-            // An event without data is not dispatched. Comments are skipped: they only keep the connection alive.
+            // An event without data is not dispatched.
             return Ok(std::mem::take(&mut self.has_data).then_some(event));
         }
         let (field, value) = line.split_once(':').unwrap_or((&line, ""));
@@ -96,6 +96,7 @@
                 let id = value.parse().map_err(|_| self.error(format!("id {value:?} is not a number")))?;
                 self.event.id = Some(id);
             }
+            // Other fields are ignored, and comments, whose field name is empty: they only keep the connection alive.
             _ => {}
         }
         Ok(None)
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -216,8 +216,8 @@
         limits.max_retry_after=1000.0\nlimits.probes=true\nlimits.retry_after=true\n\
         reporting.columns=inflight,x0\nreporting.via=pull\nsafety.cold=12000.0\nsafety.cold_from=0.4\n\
         safety.drain_grace=250.0\nsafety.tip_after=1000.0\nsafety.tip_multiple=2.0\n";
-    let terms = |text: &str| format!("{:?}", PolicySettings::parse(text).unwrap());
-    assert_eq!(terms(&parsed.settings_text), terms(lines));
+    let parsed_settings = |text: &str| format!("{:?}", PolicySettings::parse(text).unwrap());
+    assert_eq!(parsed_settings(&parsed.settings_text), parsed_settings(lines));
     assert_eq!(
         parsed.servers.iter().map(|s| s.name.as_str()).collect::<Vec<_>>(),
         ["s-00000001", "s-00000002"]
