--- a/crates/catalogue-store/tests/crashes.rs
+++ b/crates/catalogue-store/tests/crashes.rs
@@ -69,15 +69,16 @@
 fn append_until_killed() {
     let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else { return };
     let folder = Path::new(&folder);
-    let (store, mut v) = open(folder);
+    let (store, mut version) = open(folder);
     loop {
-        let batch: Vec<NumberedChange> = (1..=1 + v.number() % 40).map(|n| change(v.number() + n)).collect();
-        let next = v.with_changes(&batch).unwrap();
+        let batch: Vec<NumberedChange> =
+            (1..=1 + version.number() % 40).map(|n| change(version.number() + n)).collect();
+        let next = version.with_changes(&batch).unwrap();
         store.append(&batch).unwrap();
-        v = next;
-        println!("stored {}", v.number());
-        if v.number() % 3 == 0 {
-            write_snapshot(folder, &v, &mut |_, _| println!("snapshot")).unwrap();
+        version = next;
+        println!("stored {}", version.number());
+        if version.number() % 3 == 0 {
+            write_snapshot(folder, &version, &mut |_, _| println!("snapshot")).unwrap();
             store.prune().unwrap();
         }
     }
@@ -112,10 +113,14 @@
         for line in lines.map_while(Result::ok) {
             last_stored = line.rsplit("stored ").next().and_then(|n| n.parse().ok()).unwrap_or(last_stored);
         }
-        let (_store, v) = open(folder.path());
-        assert!(v.number() >= last_stored, "{} is older than {last_stored}, which was stored", v.number());
-        assert_same(&v, &version_after(v.number()));
-        last_stored = v.number();
+        let (_store, version) = open(folder.path());
+        assert!(
+            version.number() >= last_stored,
+            "{} is older than {last_stored}, which was stored",
+            version.number()
+        );
+        assert_same(&version, &version_after(version.number()));
+        last_stored = version.number();
     }
     assert!(last_stored > 100, "only {last_stored} changes in all rounds");
 }
@@ -182,9 +187,9 @@
                 rejected += 1;
             }
             Ok((_store, recovered)) => {
-                let v = recovered.version.expect("both snapshots are intact");
-                assert!((400..=450).contains(&v.number()), "{}", v.number());
-                assert_same(&v, &version_after(v.number()));
+                let version = recovered.version.expect("both snapshots are intact");
+                assert!((400..=450).contains(&version.number()), "{}", version.number());
+                assert_same(&version, &version_after(version.number()));
                 recovered_count += 1;
             }
         }
@@ -201,8 +206,8 @@
     write_snapshot(folder.path(), &version_after(120), &mut |_, _| {}).unwrap();
     store.reset_to_snapshot(120).unwrap();
     drop(store);
-    let (mut store, v) = open(folder.path());
-    assert_same(&v, &version_after(120));
+    let (mut store, version) = open(folder.path());
+    assert_same(&version, &version_after(120));
     store.append(&[change(121)]).unwrap();
     assert_eq!(store.compact().unwrap(), 1);
     drop(store);
@@ -255,36 +260,36 @@
     fn any_sequence_of_operations_recovers_the_last_version(steps in prop::collection::vec(steps(), 1..25)) {
         let folder = tempfile::tempdir().unwrap();
         initialize(folder.path());
-        let (mut store, mut v) = open(folder.path());
+        let (mut store, mut version) = open(folder.path());
         for step in steps {
             match step {
                 Step::Append(n) => {
-                    let batch: Vec<NumberedChange> = (1..=n).map(|k| change(v.number() + k)).collect();
-                    v = v.with_changes(&batch).unwrap();
+                    let batch: Vec<NumberedChange> = (1..=n).map(|k| change(version.number() + k)).collect();
+                    version = version.with_changes(&batch).unwrap();
                     store.append(&batch).unwrap();
                 }
                 Step::Snapshot => {
-                    write_snapshot(folder.path(), &v, &mut |_, _| {}).unwrap();
+                    write_snapshot(folder.path(), &version, &mut |_, _| {}).unwrap();
                     store.prune().unwrap();
                 }
                 Step::IncompleteSnapshot => fs::write(folder.path().join("snapshot.part"), b"WNLNCAT1").unwrap(),
                 Step::Replace(number) => {
-                    v = version_after(number);
-                    write_snapshot(folder.path(), &v, &mut |_, _| {}).unwrap();
+                    version = version_after(number);
+                    write_snapshot(folder.path(), &version, &mut |_, _| {}).unwrap();
                     store.reset_to_snapshot(number).unwrap();
                 }
                 Step::Compact => drop(store.compact().unwrap()),
                 Step::Reopen => {
                     drop(store);
                     let (reopened, recovered) = open(folder.path());
-                    assert_same(&recovered, &v);
+                    assert_same(&recovered, &version);
                     store = reopened;
                 }
             }
         }
         drop(store);
         let (_store, recovered) = open(folder.path());
-        assert_same(&recovered, &v);
-        assert_same(&recovered, &version_after(v.number()));
+        assert_same(&recovered, &version);
+        assert_same(&recovered, &version_after(version.number()));
     }
 }
--- a/crates/catalogue/src/change_json.rs
+++ b/crates/catalogue/src/change_json.rs
@@ -67,12 +67,12 @@
 /// Encodes a change.
 pub fn encode(numbered: &NumberedChange) -> String {
     let json = match numbered.change.clone() {
-        Change::PutTitle(t) => ChangeJson::Put(TitleData {
-            title: t.name,
-            rates: t.rates,
-            groups: t.group_mask,
-            length: t.duration_ms,
-            holders: t.holders.into_iter().map(|h| h.0).collect(),
+        Change::PutTitle(title) => ChangeJson::Put(TitleData {
+            title: title.name,
+            rates: title.rates,
+            groups: title.group_mask,
+            length: title.duration_ms,
+            holders: title.holders.into_iter().map(|h| h.0).collect(),
         }),
         Change::RemoveTitle { name } => ChangeJson::Drop(name),
         Change::AddHolder { name, server } => ChangeJson::Add(TitleHolder { title: name, server: server.0 }),
@@ -95,14 +95,14 @@
 pub fn decode(text: &str) -> Result<NumberedChange, String> {
     let (number, json): (u64, ChangeJson) = serde_json::from_str(text).map_err(|e| format!("change: {e}"))?;
     let change = match json {
-        ChangeJson::Put(p) => {
-            let mut holders: Vec<ServerId> = p.holders.into_iter().map(ServerId).collect();
+        ChangeJson::Put(data) => {
+            let mut holders: Vec<ServerId> = data.holders.into_iter().map(ServerId).collect();
             holders.sort_unstable();
             Change::PutTitle(Title {
-                name: p.title,
-                rates: p.rates,
-                group_mask: p.groups,
-                duration_ms: p.length,
+                name: data.title,
+                rates: data.rates,
+                group_mask: data.groups,
+                duration_ms: data.length,
                 holders,
             })
         }
--- a/crates/catalogue/src/packed_title.rs
+++ b/crates/catalogue/src/packed_title.rs
@@ -191,7 +191,7 @@
 
     /// Takes a little-endian integer of `len` bytes.
     fn integer(&mut self, len: usize, field: &str) -> Result<u32, PackedTitleError> {
-        Ok(self.take(len, field)?.iter().rev().fold(0, |sum, b| sum << 8 | u32::from(*b)))
+        Ok(self.take(len, field)?.iter().rev().fold(0, |number, b| number << 8 | u32::from(*b)))
     }
 }
 
@@ -282,10 +282,10 @@
 
     proptest! {
         #[test]
-        fn encoding_round_trips(t in title()) {
-            let packed = PackedTitle::new(&t).unwrap();
-            prop_assert_eq!(packed.unpack(), t.clone());
-            prop_assert!(t.holders.iter().all(|h| packed.holds(*h)));
+        fn encoding_round_trips(title in title()) {
+            let packed = PackedTitle::new(&title).unwrap();
+            prop_assert_eq!(packed.unpack(), title.clone());
+            prop_assert!(title.holders.iter().all(|h| packed.holds(*h)));
             let mut parsed = PackedTitle::parse(packed.as_bytes()).unwrap();
             prop_assert_eq!(&parsed, &packed);
             parsed = PackedTitle::new(&parsed.unpack()).unwrap();
@@ -295,16 +295,16 @@
         /// Truncated or changed bytes are either a valid title or rejected with an offset within their length.
         #[test]
         fn damaged_bytes_are_rejected_with_an_offset(
-            t in title(),
-            at in any::<prop::sample::Index>(),
-            b in any::<u8>(),
+            title in title(),
+            position in any::<prop::sample::Index>(),
+            new_byte in any::<u8>(),
             cut in any::<prop::sample::Index>(),
         ) {
-            let mut bytes = PackedTitle::new(&t).unwrap().as_bytes().to_vec();
+            let mut bytes = PackedTitle::new(&title).unwrap().as_bytes().to_vec();
             let short = cut.index(bytes.len());
             prop_assert!(PackedTitle::parse(&bytes[..short]).unwrap_err().offset <= short);
-            let at = at.index(bytes.len());
-            bytes[at] = b;
+            let index = position.index(bytes.len());
+            bytes[index] = new_byte;
             match PackedTitle::parse(&bytes) {
                 Ok(p) => prop_assert!(PackedTitle::new(&p.unpack()).is_ok()),
                 Err(e) => prop_assert!(e.offset <= bytes.len()),
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -59,10 +59,10 @@
     header.extend((boxes.len() as u32).to_le_bytes());
     header.extend((groups.len() as u32).to_le_bytes());
     let mut groups_and_boxes = groups;
-    for b in boxes {
-        groups_and_boxes.extend(b.server.0.to_le_bytes());
-        groups_and_boxes.push(u8::from(b.gone) | u8::from(b.rack.is_some()) << 1);
-        groups_and_boxes.extend(b.rack.map_or(0, |r| r.0).to_le_bytes());
+    for state in boxes {
+        groups_and_boxes.extend(state.server.0.to_le_bytes());
+        groups_and_boxes.push(u8::from(state.gone) | u8::from(state.rack.is_some()) << 1);
+        groups_and_boxes.extend(state.rack.map_or(0, |r| r.0).to_le_bytes());
     }
     // In name order, so that a reader adds each title to its indexes close to the one before.
     let mut titles = version.titles_with_prefix("", None, version.len()).into_iter().peekable();
@@ -189,11 +189,11 @@
                 let groups = self.decode_groups(groups)?;
                 let builder = VersionBuilder::new(self.number, groups, self.previous.take());
                 let mut builder = builder.map_err(|reason| self.error(reason))?;
-                for b in boxes.chunks_exact(BOX_BYTES) {
+                for encoded in boxes.chunks_exact(BOX_BYTES) {
                     builder.add_box(BoxState {
-                        server: ServerId(u32_at(b, 0)),
-                        gone: b[4] & 1 != 0,
-                        rack: (b[4] & 2 != 0).then(|| RackId(u32_at(b, 5))),
+                        server: ServerId(u32_at(encoded, 0)),
+                        gone: encoded[4] & 1 != 0,
+                        rack: (encoded[4] & 2 != 0).then(|| RackId(u32_at(encoded, 5))),
                     });
                 }
                 self.builder = Some(builder);
@@ -256,7 +256,7 @@
 
 /// The little-endian `u32` at an offset.
 fn u32_at(bytes: &[u8], offset: usize) -> u32 {
-    bytes[offset..offset + 4].iter().rev().fold(0, |sum, b| sum << 8 | u32::from(*b))
+    bytes[offset..offset + 4].iter().rev().fold(0, |number, b| number << 8 | u32::from(*b))
 }
 
 /// The little-endian `u64` at an offset.
--- a/crates/catalogue/tests/snapshots.rs
+++ b/crates/catalogue/tests/snapshots.rs
@@ -57,10 +57,10 @@
 #[test]
 fn reading_in_chunks_of_any_length_gives_the_same_version() {
     for titles in [0, 1, 5_000] {
-        let v = version(titles);
-        let bytes = encoded(&v);
+        let version = version(titles);
+        let bytes = encoded(&version);
         for chunk_len in [1, 7, 4_096, bytes.len()] {
-            assert_same(&read(&bytes, chunk_len).unwrap(), &v);
+            assert_same(&read(&bytes, chunk_len).unwrap(), &version);
         }
     }
 }
@@ -103,13 +103,13 @@
 
 #[test]
 fn equal_titles_are_shared_with_the_previous_version() {
-    let v = Arc::new(version(500));
-    let mut reader = SnapshotReader::new(Some(v.clone()));
-    reader.push(&encoded(&v)).unwrap();
+    let previous = Arc::new(version(500));
+    let mut reader = SnapshotReader::new(Some(previous.clone()));
+    reader.push(&encoded(&previous)).unwrap();
     assert_eq!(reader.progress(), (500, 500));
     let loaded = reader.finish().unwrap();
-    let address = |v: &Version, name: &str| v.title(name).map(|t| t.as_bytes().as_ptr());
-    let shared = v.titles().filter(|t| address(&v, t.name()) == address(&loaded, t.name()));
+    let address = |version: &Version, name: &str| version.title(name).map(|t| t.as_bytes().as_ptr());
+    let shared = previous.titles().filter(|t| address(&previous, t.name()) == address(&loaded, t.name()));
     assert_eq!(shared.count(), 500);
 }
 
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -69,16 +69,16 @@
         let expected: Vec<ServerId> = t.holders.iter().copied().filter(|s| !model.gone.contains(s)).collect();
         prop_assert_eq!(available, expected);
     }
-    for s in (0..BOXES).map(ServerId) {
-        let held: BTreeSet<&str> = version.titles_on(s).map(|t| t.name()).collect();
-        let holds = |(_, t): &(&String, &Title)| t.holders.contains(&s);
+    for server in (0..BOXES).map(ServerId) {
+        let held: BTreeSet<&str> = version.titles_on(server).map(|t| t.name()).collect();
+        let holds = |(_, t): &(&String, &Title)| t.holders.contains(&server);
         let expected: BTreeSet<&str> = model.titles.iter().filter(holds).map(|(n, _)| n.as_str()).collect();
         prop_assert_eq!(held, expected);
-        prop_assert_eq!(version.is_gone(s), model.gone.contains(&s));
+        prop_assert_eq!(version.is_gone(server), model.gone.contains(&server));
         let unreachable: BTreeSet<&str> =
-            version.unreachable_without(&[s]).iter().map(|t| t.name()).collect();
+            version.unreachable_without(&[server]).iter().map(|t| t.name()).collect();
         let only_here = |(_, t): &(&String, &Title)| {
-            t.holders.contains(&s) && t.holders.iter().all(|h| *h == s || model.gone.contains(h))
+            t.holders.contains(&server) && t.holders.iter().all(|h| *h == server || model.gone.contains(h))
         };
         let expected: BTreeSet<&str> =
             model.titles.iter().filter(only_here).map(|(n, _)| n.as_str()).collect();
@@ -139,7 +139,17 @@
 fn changes() -> impl Strategy<Value = Change> {
     let name = || "[a-h]";
     let server = || (0..BOXES).prop_map(ServerId);
-    prop_oneof![3 => titles().prop_map(Change::PutTitle), 1 => name().prop_map(|name| Change::RemoveTitle { name }), 2 => (name(), server()).prop_map(|(name, server)| Change::AddHolder { name, server }), 2 => (name(), server()).prop_map(|(name, server)| Change::RemoveHolder { name, server }), 2 => (name(), server(), server()).prop_map(|(name, from, to)| Change::MoveHolder { name, from, to }), 1 => (name(), 1.0..9.0f32).prop_map(|(name, r)| Change::SetRates { name, rates: vec![r, r + 1.0] }), 1 => server().prop_map(Change::ServerGone), 1 => server().prop_map(Change::ServerBack), 1 => (server(), 0u32..2).prop_map(|(server, rack)| Change::SetRack { server, rack: RackId(rack) })]
+    prop_oneof![
+        3 => titles().prop_map(Change::PutTitle),
+        1 => name().prop_map(|name| Change::RemoveTitle { name }),
+        2 => (name(), server()).prop_map(|(name, server)| Change::AddHolder { name, server }),
+        2 => (name(), server()).prop_map(|(name, server)| Change::RemoveHolder { name, server }),
+        2 => (name(), server(), server()).prop_map(|(name, from, to)| Change::MoveHolder { name, from, to }),
+        1 => (name(), 1.0..9.0f32).prop_map(|(name, r)| Change::SetRates { name, rates: vec![r, r + 1.0] }),
+        1 => server().prop_map(Change::ServerGone),
+        1 => server().prop_map(Change::ServerBack),
+        1 => (server(), 0u32..2).prop_map(|(server, rack)| Change::SetRack { server, rack: RackId(rack) }),
+    ]
 }
 
 proptest! {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -20,6 +20,7 @@
     /// Unique id of the server.
     pub name: String,
     pub address: std::net::SocketAddr,
+    /// Name of the zone that the server is in.
     pub zone: String,
     /// Machine type.
     pub kind: String,
@@ -27,6 +28,7 @@
     pub cell: u32,
     /// Whether the server is shutting down and takes no new sessions.
     pub draining: bool,
+    /// Weight in the list; the settings say what it measures.
     pub weight: f64,
     /// Start time of the server process in Unix milliseconds; present only while the start is recent.
     pub started_unix_ms: Option<f64>,
