--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -4,7 +4,7 @@
 //!    has set up.
 //! 2. No session is set up twice: one SETUP is pending at a time, none is sent while the session plays or where an
 //!    earlier one may have run and must not be repeated, and their number is limited.
-//! 3. A front sends no SETUP to a box after the list has shown it as not ready, but for the drain grace.
+//! 3. A front sends no SETUP to a box after the list has shown it as not ready, except within the drain grace.
 //! 4. No cold box is overloaded.
 //! 5. Sessions keep to the rungs of their service group and to its limit of sessions per title.
 //! 6. SETUPs beyond a session's first stay within the front's retry budget.
@@ -66,28 +66,28 @@
 }
 
 /// Prints a verdict with the first violations.
-pub fn print_verdict(v: &Verdict) {
+pub fn print_verdict(verdict: &Verdict) {
     let answers: Vec<String> =
-        v.answers_by_status.iter().map(|(status, count)| format!("{count} of {status}")).collect();
-    println!("viewers {}  requests {}  answers {}", v.viewers, v.requests, answers.join(", "));
+        verdict.answers_by_status.iter().map(|(status, count)| format!("{count} of {status}")).collect();
+    println!("viewers {}  requests {}  answers {}", verdict.viewers, verdict.requests, answers.join(", "));
     println!(
         "SETUPs {}  further {}  delivered share {:.3}",
-        v.setups, v.retry_setups, v.mean_delivered_share
+        verdict.setups, verdict.retry_setups, verdict.mean_delivered_share
     );
     println!(
         "request to manifest: median {:.1} ms, 99th percentile {:.1} ms",
-        v.startup_ms.0, v.startup_ms.1
+        verdict.startup_ms.0, verdict.startup_ms.1
     );
-    println!("service {:.3}", v.service);
-    for violation in v.violations.iter().take(20) {
+    println!("service {:.3}", verdict.service);
+    for violation in verdict.violations.iter().take(20) {
         println!(
             "rule {} broken at {:.3} s: {}",
             violation.rule,
-            (violation.at_ms - v.started_at_ms) / 1_000.0,
+            (violation.at_ms - verdict.started_at_ms) / 1_000.0,
             violation.description
         );
     }
-    println!("rules {}", if v.violations.is_empty() { "all kept" } else { "BROKEN" });
+    println!("rules {}", if verdict.violations.is_empty() { "all kept" } else { "BROKEN" });
 }
 
 #[derive(Default)]
@@ -132,7 +132,7 @@
         found.ok_or_else(|| format!("service group {name:?} is not in the settings"))
     };
     let ended_at = records[records.len() - 1].at_ms;
-    let mut v = Verdict { started_at_ms: records[0].at_ms, ..Verdict::default() };
+    let mut verdict = Verdict { started_at_ms: records[0].at_ms, ..Verdict::default() };
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut sessions: HashMap<u64, Session> = HashMap::new();
     // Since when the list has shown a box as not ready, by front and box.
@@ -167,16 +167,16 @@
                 );
             }
             Observation::Answered { request, status, session, server } => {
-                let Some(r) = requests.get_mut(&request) else {
+                let Some(entry) = requests.get_mut(&request) else {
                     return Err(format!("answer to unknown request {request}"));
                 };
-                r.answers.push((at_ms, status));
+                entry.answers.push((at_ms, status));
                 if status == 200 {
-                    startup_times.push(at_ms - r.sent_at);
+                    startup_times.push(at_ms - entry.sent_at);
                     let set_up = session.and_then(|s| sessions.get(&s)).is_some_and(|s| {
-                        s.setups
-                            .iter()
-                            .any(|o| Some(o.server) == server && o.answer.is_some_and(|a| a.1 == 200))
+                        s.setups.iter().any(|setup| {
+                            Some(setup.server) == server && setup.answer.is_some_and(|a| a.1 == 200)
+                        })
                     });
                     if !set_up {
                         violated(1, format!("request {request} got a session that no box has set up"));
@@ -197,17 +197,18 @@
             }
             Observation::SetupReceived { server, front, session, title, group, rung } => {
                 let group = group_index(&group)?;
-                v.setups += 1;
-                let s = sessions.entry(session).or_default();
-                (s.front, s.group, s.title) = (front, group, title);
-                overlapping_setup(s, at_ms, &settings)
+                verdict.setups += 1;
+                let entry = sessions.entry(session).or_default();
+                (entry.front, entry.group, entry.title) = (front, group, title);
+                overlapping_setup(entry, at_ms, &settings)
                     .into_iter()
                     .for_each(|overlap| violated(2, format!("session {session}: {overlap}")));
-                if !s.setups.is_empty() {
-                    v.retry_setups += 1;
+                if !entry.setups.is_empty() {
+                    verdict.retry_setups += 1;
                     retry_times.entry(front).or_default().push(at_ms);
                     if !settings.groups[group].repeatable {
-                        let may_have_run = s.setups.iter().any(|o| !matches!(o.answer, Some((_, 453 | 503))));
+                        let may_have_run =
+                            entry.setups.iter().any(|setup| !matches!(setup.answer, Some((_, 453 | 503))));
                         if may_have_run {
                             violated(
                                 2,
@@ -218,9 +219,9 @@
                         }
                     }
                 }
-                s.setups.push(Setup { received_at: at_ms, server, answer: None });
-                if s.setups.len() > settings.max_setups {
-                    violated(2, format!("session {session} had {} SETUPs", s.setups.len()));
+                entry.setups.push(Setup { received_at: at_ms, server, answer: None });
+                if entry.setups.len() > settings.max_setups {
+                    violated(2, format!("session {session} had {} SETUPs", entry.setups.len()));
                 }
                 if let Some(since) = not_ready_since.get(&(front, server)) {
                     if at_ms
@@ -244,8 +245,8 @@
                         format!("session {session} was set up at rung {rung}, below its lowest rung"),
                     );
                 }
-                s.possible_servers.insert(server);
-                let setup_count = s.setups.len();
+                entry.possible_servers.insert(server);
+                let setup_count = entry.setups.len();
                 let max_sessions = settings.groups[group].max_sessions_per_title;
                 let count = if max_sessions > 0 {
                     sessions_of_title(&sessions, session, at_ms, &settings)
@@ -277,13 +278,17 @@
                 }
             }
             Observation::SetupAnswered { server, session, status } => {
-                let Some(s) = sessions.get_mut(&session) else { continue };
-                if let Some(o) = s.setups.iter_mut().rev().find(|o| o.server == server && o.answer.is_none())
+                let Some(entry) = sessions.get_mut(&session) else { continue };
+                if let Some(setup) = entry
+                    .setups
+                    .iter_mut()
+                    .rev()
+                    .find(|setup| setup.server == server && setup.answer.is_none())
                 {
-                    o.answer = Some((at_ms, status));
+                    setup.answer = Some((at_ms, status));
                 }
                 if status != 200 {
-                    s.possible_servers.remove(&server);
+                    entry.possible_servers.remove(&server);
                 }
             }
             Observation::SessionEnded { server, session, .. } => {
@@ -335,24 +340,27 @@
             | Observation::FaultInjected { .. } => {}
         }
     }
-    for (request, r) in &requests {
-        let deadline =
-            |at: f64| r.sent_at + r.wait_limit + max_recorder_delay(&recorder_delays, r.sent_at, at);
-        let in_time = r.answers.first().is_some_and(|(at, _)| *at <= deadline(*at));
-        if !in_time && !r.excused {
-            let description =
-                format!("request {request} to front {} had no answer within {:.0} ms", r.front, r.wait_limit);
-            violations.push(Violation { rule: 1, at_ms: r.sent_at + r.wait_limit, description });
+    for (request, entry) in &requests {
+        let deadline = |at: f64| {
+            entry.sent_at + entry.wait_limit + max_recorder_delay(&recorder_delays, entry.sent_at, at)
+        };
+        let in_time = entry.answers.first().is_some_and(|(at, _)| *at <= deadline(*at));
+        if !in_time && !entry.excused {
+            let description = format!(
+                "request {request} to front {} had no answer within {:.0} ms",
+                entry.front, entry.wait_limit
+            );
+            violations.push(Violation { rule: 1, at_ms: entry.sent_at + entry.wait_limit, description });
         }
-        *v.answers_by_status.entry(r.answers.first().map_or(0, |a| a.1)).or_default() += 1;
+        *verdict.answers_by_status.entry(entry.answers.first().map_or(0, |a| a.1)).or_default() += 1;
     }
     // A session whose SETUP was answered too late must have been torn down within the time-out.
-    for (session, s) in &sessions {
-        let plays = |o: &&Setup| {
-            o.answer.is_some_and(|(at, status)| status == 200 && at < ended_at - TEARDOWN_TIMEOUT_MS)
-                && s.possible_servers.contains(&o.server)
+    for (session, entry) in &sessions {
+        let plays = |setup: &&Setup| {
+            setup.answer.is_some_and(|(at, status)| status == 200 && at < ended_at - TEARDOWN_TIMEOUT_MS)
+                && entry.possible_servers.contains(&setup.server)
         };
-        let servers: Vec<u32> = s.setups.iter().filter(plays).map(|o| o.server).collect();
+        let servers: Vec<u32> = entry.setups.iter().filter(plays).map(|setup| setup.server).collect();
         if servers.len() > 1 {
             violations.push(Violation {
                 rule: 2,
@@ -362,18 +370,18 @@
         }
     }
     violations.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-    v.violations = violations;
-    v.requests = requests.len();
-    (v.viewers, v.service) = service(&requests, &settings);
-    v.mean_delivered_share = if shares.1 > 0 { shares.0 / shares.1 as f64 } else { 0.0 };
+    verdict.violations = violations;
+    verdict.requests = requests.len();
+    (verdict.viewers, verdict.service) = service(&requests, &settings);
+    verdict.mean_delivered_share = if shares.1 > 0 { shares.0 / shares.1 as f64 } else { 0.0 };
     startup_times.sort_by(f64::total_cmp);
     let quantile = |q: f64| {
         startup_times
             .get(((startup_times.len() as f64 * q) as usize).min(startup_times.len().max(1) - 1))
             .copied()
     };
-    v.startup_ms = (quantile(0.5).unwrap_or(0.0), quantile(0.99).unwrap_or(0.0));
-    Ok(v)
+    verdict.startup_ms = (quantile(0.5).unwrap_or(0.0), quantile(0.99).unwrap_or(0.0));
+    Ok(verdict)
 }
 
 fn recorder_delay(r: &Record) -> Option<(f64, f64)> {
@@ -399,34 +407,35 @@
     settings: &AuditSettings,
 ) -> usize {
     let Some(session) = sessions.get(&session) else { return 0 };
-    let counts = |s: &&Session| {
-        let active = |o: &Setup| match o.answer {
-            Some((_, status)) => status == 200 && s.possible_servers.contains(&o.server),
+    let counts = |other: &&Session| {
+        let active = |setup: &Setup| match setup.answer {
+            Some((_, status)) => status == 200 && other.possible_servers.contains(&setup.server),
             None => {
-                now - o.received_at < settings.min_setup_timeout_ms && s.possible_servers.contains(&o.server)
+                now - setup.received_at < settings.min_setup_timeout_ms
+                    && other.possible_servers.contains(&setup.server)
             }
         };
-        s.front == session.front
-            && s.group == session.group
-            && s.title == session.title
-            && s.setups.iter().any(active)
+        other.front == session.front
+            && other.group == session.group
+            && other.title == session.title
+            && other.setups.iter().any(active)
     };
     sessions.values().filter(counts).count()
 }
 
 /// Describes the overlap when a session gets a SETUP while another is pending or while it plays. Seen from outside, a
 /// SETUP is pending until its answer, or until the front can have given it up.
-fn overlapping_setup(s: &Session, at: f64, settings: &AuditSettings) -> Option<String> {
-    let last = s.setups.last()?;
+fn overlapping_setup(session: &Session, at: f64, settings: &AuditSettings) -> Option<String> {
+    let last = session.setups.last()?;
     match last.answer {
         Some((answered_at, 200))
-            if s.possible_servers.contains(&last.server)
+            if session.possible_servers.contains(&last.server)
                 && answered_at - last.received_at < settings.min_setup_timeout_ms =>
         {
             Some(format!("another SETUP while it plays at box {}", last.server))
         }
         None if at - last.received_at < settings.min_setup_timeout_ms
-            && s.possible_servers.contains(&last.server) =>
+            && session.possible_servers.contains(&last.server) =>
         {
             Some(format!("two pending SETUPs, the first for {:.0} ms", at - last.received_at))
         }
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -191,12 +191,16 @@
         let _ = stream.shutdown(Shutdown::Both);
         // Sessions end with the control connection that they were set up on.
         let mut state = connection.context.fleet.lock();
-        let b = &mut state.boxes[connection.server as usize];
-        if b.generation == connection.generation {
-            let ended: Vec<u64> =
-                b.sessions.values().filter(|s| s.connection == connection.id).map(|s| s.id).collect();
+        let simulated_box = &mut state.boxes[connection.server as usize];
+        if simulated_box.generation == connection.generation {
+            let ended: Vec<u64> = simulated_box
+                .sessions
+                .values()
+                .filter(|s| s.connection == connection.id)
+                .map(|s| s.id)
+                .collect();
             for id in ended {
-                b.sessions.remove(&id);
+                simulated_box.sessions.remove(&id);
                 connection.record_end(id, "front left");
             }
         }
@@ -363,10 +367,11 @@
             let mut state = fleet.lock();
             let settings = state.box_settings.clone();
             let demand = state.demanded_kb_per_s(self.server as usize);
-            let b = &mut state.boxes[self.server as usize];
+            let simulated_box = &mut state.boxes[self.server as usize];
             let mut occurs = |(share, until): (f64, f64)| now < until && rng.random_bool(share);
-            let (failed, lost) = (occurs(b.faults.setup_errors), occurs(b.faults.lost_answers));
-            let full = b.sessions.len() >= settings.max_streams
+            let (failed, lost) =
+                (occurs(simulated_box.faults.setup_errors), occurs(simulated_box.faults.lost_answers));
+            let full = simulated_box.sessions.len() >= settings.max_streams
                 || demand > settings.busy_link_use * settings.link_kb_per_s;
             let status = match () {
                 _ if failed => 500,
@@ -382,7 +387,7 @@
                     rate_scale: scale,
                     last_fetch_at_ms: now,
                 };
-                b.sessions.insert(id, s);
+                simulated_box.sessions.insert(id, s);
             }
             (status, lost)
         };
@@ -423,8 +428,8 @@
                 let mut state = self.context.fleet.lock();
                 let reports_late_until = state.report_delay.1;
                 let share = state.delivered_share(self.server as usize, now);
-                let b = &mut state.boxes[self.server as usize];
-                let has_sessions = b.sessions.values().any(|s| s.connection == self.id);
+                let simulated_box = &mut state.boxes[self.server as usize];
+                let has_sessions = simulated_box.sessions.values().any(|s| s.connection == self.id);
                 if has_sessions && now >= reports_late_until && (share < 0.98 || was_reduced) {
                     was_reduced = share < 0.98;
                     requests.push(ControlRequest::SetParameter {
@@ -435,10 +440,14 @@
                 let idle = |s: &&Session| {
                     s.connection == self.id && now - s.last_fetch_at_ms > SESSION_IDLE_TIMEOUT_MS
                 };
-                let ended: Vec<(u64, String)> =
-                    b.sessions.values().filter(idle).map(|s| (s.id, s.rtsp_session.clone())).collect();
+                let ended: Vec<(u64, String)> = simulated_box
+                    .sessions
+                    .values()
+                    .filter(idle)
+                    .map(|s| (s.id, s.rtsp_session.clone()))
+                    .collect();
                 for (id, session) in ended {
-                    b.sessions.remove(&id);
+                    simulated_box.sessions.remove(&id);
                     self.record_end(id, "not watched");
                     requests.push(ControlRequest::Teardown { session });
                 }
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -136,22 +136,22 @@
     pub fn start_process(&self, server: u32, cold: bool) -> u64 {
         let now = self.recorder.now_ms();
         let mut state = self.lock();
-        let b = &mut state.boxes[server as usize];
-        b.generation += 1;
-        (b.alive, b.started_at_ms, b.started_cold) = (true, now, cold);
-        (b.recent_setups, b.load_history, b.faults) = Default::default();
+        let simulated_box = &mut state.boxes[server as usize];
+        simulated_box.generation += 1;
+        (simulated_box.alive, simulated_box.started_at_ms, simulated_box.started_cold) = (true, now, cold);
+        (simulated_box.recent_setups, simulated_box.load_history, simulated_box.faults) = Default::default();
         self.recorder.record(Observation::BoxUp { server });
-        b.generation
+        simulated_box.generation
     }
 
     /// Ends a box's process and its sessions; does nothing if none is running.
     pub fn stop_process(&self, server: u32, reason: &str) {
         let mut state = self.lock();
-        let b = &mut state.boxes[server as usize];
-        if !std::mem::replace(&mut b.alive, false) {
+        let simulated_box = &mut state.boxes[server as usize];
+        if !std::mem::replace(&mut simulated_box.alive, false) {
             return;
         }
-        for s in std::mem::take(&mut b.sessions).into_values() {
+        for s in std::mem::take(&mut simulated_box.sessions).into_values() {
             self.recorder.record(Observation::SessionEnded {
                 server,
                 session: s.id,
@@ -164,15 +164,15 @@
     /// Whether the process of this generation is still running.
     pub fn is_running(&self, server: u32, generation: u64) -> bool {
         let state = self.lock();
-        let b = &state.boxes[server as usize];
-        b.alive && b.generation == generation
+        let simulated_box = &state.boxes[server as usize];
+        simulated_box.alive && simulated_box.generation == generation
     }
 
     /// Records an observation of a process, unless it has ended; returns whether it is running.
     pub fn record_if_running(&self, server: u32, generation: u64, observation: Observation) -> bool {
         let state = self.lock();
-        let b = &state.boxes[server as usize];
-        let alive = b.alive && b.generation == generation;
+        let simulated_box = &state.boxes[server as usize];
+        let alive = simulated_box.alive && simulated_box.generation == generation;
         if alive {
             self.recorder.record(observation);
         }
@@ -214,14 +214,14 @@
 
     /// The present load of a box.
     pub fn load(&self, index: usize, now: f64) -> BoxLoad {
-        let b = &self.boxes[index];
-        let (share, until) = b.faults.link_limit;
+        let simulated_box = &self.boxes[index];
+        let (share, until) = simulated_box.faults.link_limit;
         let link_share = if now < until { share.max(0.01) } else { 1.0 };
-        let in_rack = |other: &usize| self.boxes[*other].rack == b.rack;
+        let in_rack = |other: &usize| self.boxes[*other].rack == simulated_box.rack;
         let rack_demand: f64 =
             (0..self.boxes.len()).filter(in_rack).map(|other| self.demanded_kb_per_s(other)).sum();
         BoxLoad {
-            streams: b.sessions.len() as f64,
+            streams: simulated_box.sessions.len() as f64,
             link_use: self.demanded_kb_per_s(index) / (self.box_settings.link_kb_per_s * link_share),
             uplink_use: rack_demand / self.box_settings.uplink_kb_per_s,
         }
@@ -240,15 +240,15 @@
             (settings.warm_up_ms, settings.initial_share, settings.cold_window_ms);
         let setups_per_ms = settings.max_streams as f64 / warm_up_ms;
         let multiple = settings.cold_rate_multiple;
-        let b = &mut self.boxes[index];
-        let age = now - b.started_at_ms;
-        if !b.started_cold || age >= warm_up_ms {
+        let simulated_box = &mut self.boxes[index];
+        let age = now - simulated_box.started_at_ms;
+        if !simulated_box.started_cold || age >= warm_up_ms {
             return false;
         }
-        b.recent_setups.push_back(now);
-        b.recent_setups.retain(|t| *t > now - window_ms);
-        let warmth = initial_share + (1.0 - initial_share) * age / warm_up_ms;
-        b.recent_setups.len() as f64 > multiple * setups_per_ms * warmth * window_ms
+        simulated_box.recent_setups.push_back(now);
+        simulated_box.recent_setups.retain(|t| *t > now - window_ms);
+        let warm_share = initial_share + (1.0 - initial_share) * age / warm_up_ms;
+        simulated_box.recent_setups.len() as f64 > multiple * setups_per_ms * warm_share * window_ms
     }
 }
 
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,6 +1,6 @@
 //! Rehearsals: stand-ins for everything that a front node talks to, scripts of faults, and the auditor of the records.
-//! This crate uses the codecs of the wires, never the front or its decisions: the auditor judges only what the stand-ins
-//! observed on their own sockets.
+//! This crate uses the codecs of the protocols, never the front or its decisions: the auditor judges only what the
+//! stand-ins observed on their own sockets.
 //!
 //! - [`script`]: the language of rehearsal scripts. [`runner`]: runs a script with real fronts.
 //! - [`deployment`]: settings and configuration documents of a rehearsal. [`catalogue`]: the catalogue of its titles, and
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// A socket with a read time-out: a thread shuts down the reading side when the time-out expires, for good.
+/// A socket with a read time-out: when it expires, a thread shuts down the reading side permanently.
 pub struct TimedStream {
     pub stream: TcpStream,
     timeout: Arc<ReadTimeout>,
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -43,11 +43,13 @@
     compare: Option<u64>,
 }
 
+/// Number of titles.
 const TITLES: u32 = 24;
 /// The last titles, which are held by few boxes.
 const THINLY_HELD_TITLES: u32 = 4;
 /// Bytes sent for each byte of the ladder's rates: loopback carries a scaled-down load.
 const BYTES_SCALE: f64 = 0.02;
+/// Delay of the server list's changes without a fault.
 const LIST_DELAY_MS: f64 = 400.0;
 /// Time from draining a box to the end of its process.
 const DRAIN_TO_STOP_MS: f64 = 1_500.0;
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -12,15 +12,18 @@
 use walnutline_auth::claims::{ProofClaims, ViewerClaims};
 use walnutline_dash::{encode_base64url, mpd, proof, token, token_hash, SigningKey};
 
-// Behaviour of viewers; the values are within the ranges that the briefs give.
+// Behaviour of viewers. The values are within the required ranges.
 /// Share of viewers that try again after an interruption, a busy reply or no answer.
 const RETRY_PROBABILITY: f64 = 0.9;
+/// Shortest and longest time until a viewer tries again.
 const RETRY_DELAY_MS: (f64, f64) = (700.0, 2_500.0);
+/// Most requests of one viewer.
 const MAX_ATTEMPTS: u32 = 4;
 /// Share of viewers that leave before their answer.
 const EARLY_LEAVE_PROBABILITY: f64 = 0.01;
-/// A viewer abandons a session after this many successive segments below this share of their rate.
+/// Delivered share below which a segment counts as reduced.
 const MIN_DELIVERED_SHARE: f64 = 0.75;
+/// Successive reduced segments after which a viewer abandons a session.
 const MAX_REDUCED_SEGMENTS: u32 = 6;
 
 /// A title that viewers request.
@@ -111,9 +114,9 @@
         while !self.stopped.load(Ordering::SeqCst) {
             let now = self.recorder.now_ms();
             let (mut rate_factor, mut surge_titles) = (1.0, None);
-            if let Some(c) = self.surge.lock().unwrap_or_else(|e| e.into_inner()).as_ref() {
-                if now < c.ends_at_ms {
-                    (rate_factor, surge_titles) = (c.rate_factor, Some(c.title_count));
+            if let Some(surge) = self.surge.lock().unwrap_or_else(|e| e.into_inner()).as_ref() {
+                if now < surge.ends_at_ms {
+                    (rate_factor, surge_titles) = (surge.rate_factor, Some(surge.title_count));
                 }
             }
             let gap = Exp::new(viewers_per_second * rate_factor / 1_000.0).expect("a rate above 0");
@@ -342,7 +345,7 @@
     }
 }
 
-/// Fetches the renewed manifest; `None` once the session has ended.
+/// Fetches the renewed manifest; `None` if the front sends no valid one, as after the end of the session.
 fn renew(front: &mut TimedStream, buffer: &mut Vec<u8>, location: &str) -> io::Result<Option<mpd::Mpd>> {
     let (host, path) =
         split_url(location).ok_or_else(|| io::Error::other("manifest without a valid location"))?;
