--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -92,11 +92,11 @@
 
 #[derive(Default)]
 struct Request {
-    sent_at: f64,
+    sent_at_ms: f64,
     viewer: u64,
     front: u32,
     group: usize,
-    wait_limit: f64,
+    wait_limit_ms: f64,
     /// Times and statuses.
     answers: Vec<(f64, u16)>,
     /// Whether no answer is required: the front was killed, or the viewer left.
@@ -104,7 +104,7 @@
 }
 
 struct Setup {
-    received_at: f64,
+    received_at_ms: f64,
     server: u32,
     /// Time and status.
     answer: Option<(f64, u16)>,
@@ -148,7 +148,7 @@
         let mut violated =
             |rule: u8, description: String| violations.push(Violation { rule, at_ms, description });
         match observation {
-            Observation::RequestSent { viewer, request, front, group, wait_limit_ms: wait_limit, .. } => {
+            Observation::RequestSent { viewer, request, front, group, wait_limit_ms, .. } => {
                 let group = group_index(&group)?;
                 request_times.entry(front).or_default().push(at_ms);
                 // A request to a front that was killed before can have no answer.
@@ -156,11 +156,11 @@
                 requests.insert(
                     request,
                     Request {
-                        sent_at: at_ms,
+                        sent_at_ms: at_ms,
                         viewer,
                         front,
                         group,
-                        wait_limit,
+                        wait_limit_ms,
                         excused,
                         ..Request::default()
                     },
@@ -172,7 +172,7 @@
                 };
                 entry.answers.push((at_ms, status));
                 if status == 200 {
-                    startup_times.push(at_ms - entry.sent_at);
+                    startup_times.push(at_ms - entry.sent_at_ms);
                     let set_up = session.and_then(|s| sessions.get(&s)).is_some_and(|s| {
                         s.setups.iter().any(|setup| {
                             Some(setup.server) == server && setup.answer.is_some_and(|a| a.1 == 200)
@@ -219,7 +219,7 @@
                         }
                     }
                 }
-                entry.setups.push(Setup { received_at: at_ms, server, answer: None });
+                entry.setups.push(Setup { received_at_ms: at_ms, server, answer: None });
                 if entry.setups.len() > settings.max_setups {
                     violated(2, format!("session {session} had {} SETUPs", entry.setups.len()));
                 }
@@ -324,7 +324,7 @@
                 killed_fronts.insert(front);
                 // Only requests within their wait limit are excused: an answer that was overdue stays missing.
                 let open = |r: &&mut Request| {
-                    r.front == front && r.answers.is_empty() && at_ms < r.sent_at + r.wait_limit
+                    r.front == front && r.answers.is_empty() && at_ms < r.sent_at_ms + r.wait_limit_ms
                 };
                 for r in requests.values_mut().filter(open) {
                     r.excused = true;
@@ -342,15 +342,21 @@
     }
     for (request, entry) in &requests {
         let deadline = |at: f64| {
-            entry.sent_at + entry.wait_limit + max_recorder_delay(&recorder_delays, entry.sent_at, at)
+            entry.sent_at_ms
+                + entry.wait_limit_ms
+                + max_recorder_delay(&recorder_delays, entry.sent_at_ms, at)
         };
         let in_time = entry.answers.first().is_some_and(|(at, _)| *at <= deadline(*at));
         if !in_time && !entry.excused {
             let description = format!(
                 "request {request} to front {} had no answer within {:.0} ms",
-                entry.front, entry.wait_limit
+                entry.front, entry.wait_limit_ms
             );
-            violations.push(Violation { rule: 1, at_ms: entry.sent_at + entry.wait_limit, description });
+            violations.push(Violation {
+                rule: 1,
+                at_ms: entry.sent_at_ms + entry.wait_limit_ms,
+                description,
+            });
         }
         *verdict.answers_by_status.entry(entry.answers.first().map_or(0, |a| a.1)).or_default() += 1;
     }
@@ -411,7 +417,7 @@
         let active = |setup: &Setup| match setup.answer {
             Some((_, status)) => status == 200 && other.possible_servers.contains(&setup.server),
             None => {
-                now - setup.received_at < settings.min_setup_timeout_ms
+                now - setup.received_at_ms < settings.min_setup_timeout_ms
                     && other.possible_servers.contains(&setup.server)
             }
         };
@@ -430,14 +436,14 @@
     match last.answer {
         Some((answered_at, 200))
             if session.possible_servers.contains(&last.server)
-                && answered_at - last.received_at < settings.min_setup_timeout_ms =>
+                && answered_at - last.received_at_ms < settings.min_setup_timeout_ms =>
         {
             Some(format!("another SETUP while it plays at box {}", last.server))
         }
-        None if at - last.received_at < settings.min_setup_timeout_ms
+        None if at - last.received_at_ms < settings.min_setup_timeout_ms
             && session.possible_servers.contains(&last.server) =>
         {
-            Some(format!("two pending SETUPs, the first for {:.0} ms", at - last.received_at))
+            Some(format!("two pending SETUPs, the first for {:.0} ms", at - last.received_at_ms))
         }
         _ => None,
     }
@@ -447,7 +453,7 @@
 fn service(requests: &BTreeMap<u64, Request>, settings: &AuditSettings) -> (usize, f64) {
     let mut viewers: BTreeMap<u64, (f64, usize, bool)> = BTreeMap::new();
     for r in requests.values() {
-        let first = viewers.entry(r.viewer).or_insert((r.sent_at, r.group, false));
+        let first = viewers.entry(r.viewer).or_insert((r.sent_at_ms, r.group, false));
         let target = settings.groups[r.group].start_target_ms;
         first.2 |= r.answers.first().is_some_and(|(at, status)| *status == 200 && at - first.0 <= target);
     }
