--- a/crates/dash/src/mpd.rs
+++ b/crates/dash/src/mpd.rs
@@ -166,7 +166,7 @@
 }
 
 /// Parses an xs:duration in seconds, the form that [`to_xml`] writes, and returns milliseconds.
-pub fn read_duration(text: &str) -> Option<f64> {
+pub fn parse_duration_ms(text: &str) -> Option<f64> {
     let seconds: f64 = text.strip_prefix("PT")?.strip_suffix('S')?.parse().ok()?;
     Some(seconds * 1_000.0)
 }
@@ -200,7 +200,7 @@
         assert_eq!(mpd.presentation_type, "dynamic");
         assert_eq!(mpd.availability_start_time, "2000-02-29T23:59:59.000Z");
         assert_eq!(mpd.publish_time, "2023-11-14T22:13:20.123Z");
-        assert_eq!(read_duration(&mpd.minimum_update_period), Some(2_000.0));
+        assert_eq!(parse_duration_ms(&mpd.minimum_update_period), Some(2_000.0));
         let representations: Vec<_> =
             mpd.period.adaptation_set.representations.iter().map(|r| (r.id.as_str(), r.bandwidth)).collect();
         assert_eq!(representations, [("0", 800_000), ("1", 2_004_000)]);
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -303,7 +303,7 @@
         let Ok(mut media) = TimedStream::connect(&host) else {
             return AttemptEnd::Failed(0.0);
         };
-        let update_period_ms = mpd::read_duration(&manifest.minimum_update_period).unwrap_or(2_000.0);
+        let update_period_ms = mpd::parse_duration_ms(&manifest.minimum_update_period).unwrap_or(2_000.0);
         let (mut renewed_at, mut media_buffer, mut reduced_segments) =
             (self.recorder.now_ms(), Vec::new(), 0);
         let mut number = 1;
