--- a/crates/catalogue/src/differences.rs
+++ b/crates/catalogue/src/differences.rs
@@ -123,6 +123,7 @@
             .map_or_else(|| hash_name(request.title), |t| hash_bytes(t.as_bytes()));
         new.retain(|d| {
             *self.counts.entry((d.kind, d.server)).or_default() += 1;
+            // The upper bits stand for the kind; the lower 32 for the box, or bit 32 for none.
             let discriminant = (d.kind as u64 + 1) << 33 | d.server.map_or(1 << 32, |s| u64::from(s.0));
             self.remember(state ^ discriminant.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         });
--- a/crates/catalogue/src/packed_title.rs
+++ b/crates/catalogue/src/packed_title.rs
@@ -107,6 +107,7 @@
     /// Boxes that hold the title, in ascending order.
     pub fn holders(&self) -> HolderIter<'_> {
         let (at, rungs) = self.rates_at();
+        // The service groups, the duration and the number of holders take 10 bytes between the rates and the holders.
         HolderIter { rest: &self.0[at + 4 * rungs + 10..], next_id: 0 }
     }
 
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -176,6 +176,7 @@
             Part::Header => {
                 (self.number, self.total_titles) = (u64_at(bytes, 8), u64_at(bytes, 16));
                 let (boxes, group_bytes) = (u32_at(bytes, 24), u32_at(bytes, 28));
+                // At most 32 group names, each with a length byte and up to 255 bytes.
                 if boxes > MAX_BOXES || group_bytes > 32 * 256 {
                     return Err(self.error(format!(
                         "{boxes} boxes or {group_bytes} bytes of service groups are too many"
