--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -22,6 +22,7 @@
     pub peer_broadcast_address: Option<SocketAddr>,
     /// Number of the last change included in `servers`.
     pub server_list_serial: u32,
+    /// The servers that remain listed after the last change.
     pub servers: Vec<ServerRecord>,
     /// The settings as lines of the form `path=value`.
     pub settings_text: String,
@@ -33,7 +34,9 @@
     pub kinds: Vec<String>,
     /// Names of the values in a load report, in the order of the settings.
     pub report_columns: Vec<String>,
+    /// Number of cells of the deployment.
     pub cell_count: u32,
+    /// Number of rungs of the ladder.
     pub rung_count: usize,
     /// How long opening a connection may take.
     pub connect_timeout_ms: f64,
--- a/crates/platform/src/viewer.rs
+++ b/crates/platform/src/viewer.rs
@@ -9,6 +9,7 @@
 pub struct SetupRequest {
     /// Id of the session.
     pub id: u64,
+    /// Id of the title.
     pub title: u64,
     /// Name of the request's class.
     pub class: String,
@@ -36,8 +37,11 @@
 /// A request that the node rejects. The error is reported in the response, and the connection stays open.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestError {
+    /// Id of the session, if the request has a valid one.
     pub id: Option<u64>,
+    /// CSeq of the request, if it has a valid one.
     pub cseq: Option<u32>,
+    /// What is wrong with the request.
     pub reason: String,
 }
 
--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -17,7 +17,9 @@
 pub struct Violation {
     /// Number of the rule, from 1 to 6.
     pub rule: u8,
+    /// Unix time of the record that shows it, or of the deadline that was missed.
     pub at_ms: f64,
+    /// What was observed.
     pub description: String,
 }
 
--- a/crates/rehearsal/src/boxes.rs
+++ b/crates/rehearsal/src/boxes.rs
@@ -33,6 +33,7 @@
     pub title_rate_factors: BTreeMap<String, f64>,
     /// Bytes sent for each byte of the nominal rates.
     pub bytes_scale: f64,
+    /// Nominal duration of a segment.
     pub segment_ms: f64,
     /// Shortest and longest time that a box takes for a SETUP.
     pub setup_duration_ms: (f64, f64),
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -22,8 +22,9 @@
     pub warm_up_ms: f64,
     /// The part of its warm set-up rate that a box bears at a cold start; it grows evenly to 1.
     pub initial_share: f64,
-    /// How many times its set-up rate a cold box bears within the window below.
+    /// How many times its set-up rate a cold box bears within `cold_window_ms`.
     pub cold_rate_multiple: f64,
+    /// Length of the window in which the SETUPs of a cold box are counted.
     pub cold_window_ms: f64,
     /// A box answers SETUPs as busy once the rates of its sessions exceed this multiple of its link.
     pub busy_link_use: f64,
@@ -72,12 +73,15 @@
 /// A simulated box.
 pub struct SimulatedBox {
     pub id: u32,
+    /// Number of the rack that the box is in.
     pub rack: u32,
     /// Whether a process of the box is running.
     pub alive: bool,
     /// Number of the process, from 1 on.
     pub generation: u64,
+    /// Unix time at which the process started.
     pub started_at_ms: f64,
+    /// Whether the process started cold.
     pub started_cold: bool,
     /// By the front's number of the session.
     pub sessions: BTreeMap<u64, Session>,
--- a/crates/rehearsal/src/viewers.rs
+++ b/crates/rehearsal/src/viewers.rs
@@ -42,7 +42,9 @@
 
 /// A temporary increase of the arrival rate.
 pub struct ViewerSurge {
+    /// Unix time of its end.
     pub ends_at_ms: f64,
+    /// The arrival rate during the surge as a multiple of the usual one.
     pub rate_factor: f64,
     /// The additional viewers request this many of the last titles.
     pub title_count: usize,
@@ -57,11 +59,14 @@
     pub titles: Vec<Title>,
     /// Key that signs the viewers' tokens.
     pub issuer_key: SigningKey,
+    /// Id of that key in the tokens.
     pub key_id: Vec<u8>,
     pub fronts: Mutex<FrontList>,
+    /// The latest surge, if there was one; it may have ended.
     pub surge: Mutex<Option<ViewerSurge>>,
     /// Shortest and longest session.
     pub session_ms: (f64, f64),
+    /// Nominal duration of a segment.
     pub segment_ms: f64,
     /// Set to end the arrival of viewers.
     pub stopped: AtomicBool,
