--- a/crates/catalogue-store/src/lib.rs
+++ b/crates/catalogue-store/src/lib.rs
@@ -1,8 +1,9 @@
-//! A catalogue on storage. A folder holds `changes.redb`, the changes written ahead of being in force, and
-//! `snapshot-N.wcat`, whole versions as of change N. What may go is [`retention`]'s to say.
+//! Crash-safe storage of a catalogue. A folder holds `changes.redb`, the write-ahead log of changes, and
+//! `snapshot-N.wcat`, whole versions as of change N. [`retention`] decides what may be removed.
 //!
-//! A batch is in the database, and on the disk, before [`Store::append`] returns. A snapshot is written under another
-//! name and renamed once it is whole and on the disk. So a crash at any moment leaves the last batch whole or absent.
+//! A batch is in the log and synced to disk before [`Store::append`] returns. A snapshot is written under a temporary name
+//! and renamed once it is complete and synced. So after a crash at any moment, the last batch is stored as a whole or
+//! not at all.
 use redb::{Database, ReadableDatabase, ReadableTableMetadata, TableDefinition};
 use std::fs::{self, File};
 use std::io::{Read, Write};
@@ -14,14 +15,14 @@
 use walnutline_catalogue::{change_json, retention, snapshot};
 
 const CHANGES: TableDefinition<u64, &str> = TableDefinition::new("changes");
-/// Memory that the database may keep of its file.
-const CACHE: usize = 16 << 20;
-/// Bytes of a snapshot read and worked at before progress is told: who reads beside other work rests then.
-const PIECE: usize = 4 << 10;
-/// Changes put together to one version when the store is opened.
-const REPLAY: usize = 10_000;
+/// Size of the database's page cache.
+const DB_CACHE_BYTES: usize = 16 << 20;
+/// Bytes of a snapshot that are read between two progress calls, in which a background load can pause.
+const READ_CHUNK_BYTES: usize = 4 << 10;
+/// Changes that are replayed in one batch when the store is opened.
+const REPLAY_BATCH_CHANGES: usize = 10_000;
 
-/// What went wrong, with the file.
+/// A storage error, with the path of the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
@@ -33,14 +34,16 @@
 
 impl std::error::Error for StoreError {}
 
-fn of<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> StoreError + '_ {
+/// Converts an error to a [`StoreError`] for a path.
+fn store_error<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> StoreError + '_ {
     move |e| StoreError(format!("{}: {e}", path.display()))
 }
 
-/// What is told of a long piece of work: titles done, of how many.
+/// Called during a long operation with the number of titles done and of all titles. A total of 0 means unknown, and that
+/// the parts of a snapshot are counted instead.
 pub type Progress<'a> = &'a mut dyn FnMut(u64, u64);
 
-/// Whole snapshots of a folder by their numbers, the newest first.
+/// The complete snapshots in a folder by change number, the newest first.
 pub fn list_snapshots(folder: &Path) -> Vec<(u64, PathBuf)> {
     let entries = fs::read_dir(folder).into_iter().flatten().flatten();
     let number = |p: &Path| {
@@ -52,208 +55,224 @@
     all
 }
 
-/// Reads a snapshot from a file; `beside` serves meanwhile.
+/// Reads a snapshot from a file. Titles that are equal in the `previous` version are shared with it.
 pub fn read_snapshot(
     path: &Path,
-    beside: Option<Arc<Version>>,
+    previous: Option<Arc<Version>>,
     progress: Progress,
 ) -> Result<Version, StoreError> {
-    let mut file = File::open(path).map_err(of(path))?;
-    let (mut reader, mut bytes) = (snapshot::SnapshotReader::new(beside), vec![0; PIECE]);
+    let mut file = File::open(path).map_err(store_error(path))?;
+    let (mut reader, mut buffer) = (snapshot::SnapshotReader::new(previous), vec![0; READ_CHUNK_BYTES]);
     loop {
-        match file.read(&mut bytes).map_err(of(path))? {
-            0 => return reader.finish().map_err(of(path)),
-            n => reader.push(&bytes[..n]).map_err(of(path))?,
+        match file.read(&mut buffer).map_err(store_error(path))? {
+            0 => return reader.finish().map_err(store_error(path)),
+            n => reader.push(&buffer[..n]).map_err(store_error(path))?,
         }
-        let (done, all) = reader.progress();
-        progress(done, all);
+        let (titles_read, total_titles) = reader.progress();
+        progress(titles_read, total_titles);
     }
 }
 
-/// Writes a snapshot into a folder: there under its name once it is whole and on the disk.
-pub fn write_snapshot(folder: &Path, v: &Version, progress: Progress) -> Result<PathBuf, StoreError> {
-    let mut part = SnapshotWriter::create(folder, "snapshot")?;
-    let mut written = 0;
-    for piece in snapshot::encode(v) {
-        part.write(&piece)?;
-        written += 1;
-        // A piece of titles is some 64 kB; what it holds is not counted apart.
-        progress(written, 0);
+/// Writes a snapshot into a folder. It gets its name once it is complete and synced to disk.
+pub fn write_snapshot(folder: &Path, version: &Version, progress: Progress) -> Result<PathBuf, StoreError> {
+    let mut writer = SnapshotWriter::create(folder, "snapshot")?;
+    let mut parts_written = 0;
+    for part in snapshot::encode(version) {
+        writer.write(&part)?;
+        parts_written += 1;
+        // Counts parts, since the number of titles in a part is not known here.
+        progress(parts_written, 0);
     }
-    part.finish(v.number())
+    writer.finish(version.number())
 }
 
-/// A snapshot that is being written.
+/// A snapshot file that is being written.
 pub struct SnapshotWriter {
     folder: PathBuf,
     file: File,
-    part: PathBuf,
+    temporary_path: PathBuf,
 }
 
 impl SnapshotWriter {
-    /// `name`: of the file while it is not whole.
+    /// Creates the file in a folder, as `name` with the extension `part` until it is complete.
     pub fn create(folder: &Path, name: &str) -> Result<SnapshotWriter, StoreError> {
-        let part = folder.join(name).with_extension("part");
-        let file = File::create(&part).map_err(of(&part))?;
-        Ok(SnapshotWriter { folder: folder.to_owned(), file, part })
+        let temporary_path = folder.join(name).with_extension("part");
+        let file = File::create(&temporary_path).map_err(store_error(&temporary_path))?;
+        Ok(SnapshotWriter { folder: folder.to_owned(), file, temporary_path })
     }
 
+    /// Appends bytes.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
-        self.file.write_all(bytes).map_err(of(&self.part))
+        self.file.write_all(bytes).map_err(store_error(&self.temporary_path))
     }
 
-    /// All of it is written: it stands as the snapshot of this change.
+    /// Syncs the complete file and renames it to the snapshot as of change `number`. Returns its path.
     pub fn finish(self, number: u64) -> Result<PathBuf, StoreError> {
-        let whole = self.folder.join(format!("snapshot-{number}.wcat"));
-        self.file.sync_all().map_err(of(&self.part))?;
-        fs::rename(&self.part, &whole).map_err(of(&whole))?;
-        File::open(&self.folder).and_then(|f| f.sync_all()).map_err(of(&self.folder))?;
-        Ok(whole)
+        let path = self.folder.join(format!("snapshot-{number}.wcat"));
+        self.file.sync_all().map_err(store_error(&self.temporary_path))?;
+        fs::rename(&self.temporary_path, &path).map_err(store_error(&path))?;
+        File::open(&self.folder).and_then(|f| f.sync_all()).map_err(store_error(&self.folder))?;
+        Ok(path)
     }
 }
 
+/// An open folder with a catalogue.
 pub struct Store {
     folder: PathBuf,
-    file: PathBuf,
+    /// Path of the database file, for errors.
+    db_path: PathBuf,
     db: Database,
 }
 
-/// What a store held when it was opened.
+/// What was recovered when a store was opened.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// The last whole version; `None` where nothing was kept or nothing could be read.
+    /// The last version; `None` if nothing was stored or no snapshot could be read.
     pub version: Option<Version>,
-    /// What could not be read, with file and place; the version stands on what could.
+    /// What could not be read, with file and position. The version is built from the rest.
     pub errors: Vec<StoreError>,
-    /// Changes kept after the newest snapshot.
+    /// Changes that were applied on top of the snapshot.
     pub changes_since_snapshot: u64,
 }
 
-/// A damaged file may break the database's reader instead of giving an error: that is an error too.
-fn guarded<T>(file: &Path, work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
-    catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|_| Err(StoreError(format!("{}: the database is damaged", file.display()))))
+/// Turns a panic of the database into an error: on a damaged file it may panic instead of returning one.
+fn catch_db_panic<T>(
+    path: &Path,
+    operation: impl FnOnce() -> Result<T, StoreError>,
+) -> Result<T, StoreError> {
+    catch_unwind(AssertUnwindSafe(operation))
+        .unwrap_or_else(|_| Err(StoreError(format!("{}: the database is damaged", path.display()))))
 }
 
 impl Store {
-    /// Opens a folder, made where it is missing, and puts the last whole version together.
+    /// Opens a folder, which is created if it is missing, and recovers the last version.
     pub fn open(folder: &Path, progress: Progress) -> Result<(Store, Recovered), StoreError> {
-        fs::create_dir_all(folder).map_err(of(folder))?;
-        let file = folder.join("changes.redb");
-        let db = guarded(&file, || {
-            let db = Database::builder().set_cache_size(CACHE).create(&file).map_err(of(&file))?;
-            let write = db.begin_write().map_err(of(&file))?;
-            write.open_table(CHANGES).map_err(of(&file))?;
-            write.commit().map_err(of(&file))?;
+        fs::create_dir_all(folder).map_err(store_error(folder))?;
+        let db_path = folder.join("changes.redb");
+        let db = catch_db_panic(&db_path, || {
+            let db = Database::builder()
+                .set_cache_size(DB_CACHE_BYTES)
+                .create(&db_path)
+                .map_err(store_error(&db_path))?;
+            let transaction = db.begin_write().map_err(store_error(&db_path))?;
+            transaction.open_table(CHANGES).map_err(store_error(&db_path))?;
+            transaction.commit().map_err(store_error(&db_path))?;
             Ok(db)
         })?;
-        for entry in fs::read_dir(folder).map_err(of(folder))?.flatten() {
-            // A snapshot that a crash cut short.
+        for entry in fs::read_dir(folder).map_err(store_error(folder))?.flatten() {
+            // A snapshot that a crash left incomplete.
             if entry.path().extension().is_some_and(|e| e == "part") {
                 let _ = fs::remove_file(entry.path());
             }
         }
-        let store = Store { folder: folder.to_owned(), file, db };
-        let held = store.read(progress);
-        Ok((store, held))
+        let store = Store { folder: folder.to_owned(), db_path, db };
+        let recovered = store.recover(progress);
+        Ok((store, recovered))
     }
 
-    fn read(&self, progress: Progress) -> Recovered {
-        let mut held = Recovered::default();
+    /// Reads the newest readable snapshot and replays the log on it.
+    fn recover(&self, progress: Progress) -> Recovered {
+        let mut recovered = Recovered::default();
         for (_, path) in list_snapshots(&self.folder) {
             match read_snapshot(&path, None, progress) {
-                Ok(v) => {
-                    held.version = Some(v);
+                Ok(version) => {
+                    recovered.version = Some(version);
                     break;
                 }
-                Err(fault) => held.errors.push(fault),
+                Err(error) => recovered.errors.push(error),
             }
         }
-        let Some(snapshot) = held.version.take() else { return held };
-        let from = snapshot.number();
-        let mut v = snapshot;
-        if let Err(fault) = guarded(&self.file, || self.replay(&mut v)) {
-            held.errors.push(fault);
+        let Some(snapshot) = recovered.version.take() else { return recovered };
+        let snapshot_number = snapshot.number();
+        let mut version = snapshot;
+        if let Err(error) = catch_db_panic(&self.db_path, || self.replay(&mut version)) {
+            recovered.errors.push(error);
         }
-        held.changes_since_snapshot = v.number() - from;
-        held.version = Some(v);
-        held
+        recovered.changes_since_snapshot = version.number() - snapshot_number;
+        recovered.version = Some(version);
+        recovered
     }
 
-    /// Applies the kept changes after a version, batch by batch, as far as they are whole and fit.
-    fn replay(&self, v: &mut Version) -> Result<(), StoreError> {
-        let read = self.db.begin_read().map_err(of(&self.file))?;
-        let table = read.open_table(CHANGES).map_err(of(&self.file))?;
+    /// Applies the logged changes after a version in batches, until one cannot be read or applied.
+    fn replay(&self, version: &mut Version) -> Result<(), StoreError> {
+        let transaction = self.db.begin_read().map_err(store_error(&self.db_path))?;
+        let table = transaction.open_table(CHANGES).map_err(store_error(&self.db_path))?;
         let mut batch = Vec::new();
-        let mut rows = table.range(v.number() + 1..).map_err(of(&self.file))?;
+        let mut rows = table.range(version.number() + 1..).map_err(store_error(&self.db_path))?;
         loop {
-            let row = rows.next().transpose().map_err(of(&self.file))?;
-            if batch.len() >= REPLAY || row.is_none() {
-                *v = v.with_changes(&batch).map_err(of(&self.file))?;
+            let row = rows.next().transpose().map_err(store_error(&self.db_path))?;
+            if batch.len() >= REPLAY_BATCH_CHANGES || row.is_none() {
+                *version = version.with_changes(&batch).map_err(store_error(&self.db_path))?;
                 batch.clear();
             }
             let Some((number, text)) = row else { return Ok(()) };
-            let n = change_json::decode(text.value()).map_err(of(&self.file))?;
-            if n.number != number.value() {
+            let change = change_json::decode(text.value()).map_err(store_error(&self.db_path))?;
+            if change.number != number.value() {
                 return Err(StoreError(format!(
-                    "{}: change {} stands at {}",
-                    self.file.display(),
-                    n.number,
+                    "{}: change {} is stored under key {}",
+                    self.db_path.display(),
+                    change.number,
                     number.value()
                 )));
             }
-            batch.push(n);
+            batch.push(change);
         }
     }
 
-    /// Keeps a batch; it is on the disk when this returns, whole or not at all.
+    /// Appends a batch to the log. When this returns, the batch is synced to disk as a whole, or not stored on an error.
     pub fn append(&self, batch: &[NumberedChange]) -> Result<(), StoreError> {
-        let write = self.db.begin_write().map_err(of(&self.file))?;
+        let transaction = self.db.begin_write().map_err(store_error(&self.db_path))?;
         {
-            let mut table = write.open_table(CHANGES).map_err(of(&self.file))?;
-            for n in batch {
-                table.insert(n.number, change_json::encode(n).as_str()).map_err(of(&self.file))?;
+            let mut table = transaction.open_table(CHANGES).map_err(store_error(&self.db_path))?;
+            for change in batch {
+                table
+                    .insert(change.number, change_json::encode(change).as_str())
+                    .map_err(store_error(&self.db_path))?;
             }
         }
-        write.commit().map_err(of(&self.file))
+        transaction.commit().map_err(store_error(&self.db_path))
     }
 
-    /// Removes what [`retention::plan_prune`] says may go.
+    /// Removes the snapshots and changes that [`retention::plan_prune`] gives.
     pub fn prune(&self) -> Result<(), StoreError> {
-        let all = list_snapshots(&self.folder);
-        let numbers: Vec<u64> = all.iter().map(|(n, _)| *n).collect();
-        let prune = retention::plan_prune(&numbers);
-        let write = self.db.begin_write().map_err(of(&self.file))?;
+        let snapshots = list_snapshots(&self.folder);
+        let numbers: Vec<u64> = snapshots.iter().map(|(n, _)| *n).collect();
+        let plan = retention::plan_prune(&numbers);
+        let transaction = self.db.begin_write().map_err(store_error(&self.db_path))?;
         {
-            let mut table = write.open_table(CHANGES).map_err(of(&self.file))?;
-            table.retain_in(..=prune.changes_up_to, |_, _| false).map_err(of(&self.file))?;
+            let mut table = transaction.open_table(CHANGES).map_err(store_error(&self.db_path))?;
+            table.retain_in(..=plan.changes_up_to, |_, _| false).map_err(store_error(&self.db_path))?;
         }
-        write.commit().map_err(of(&self.file))?;
-        for (_, path) in all.iter().filter(|(n, _)| prune.snapshots.contains(n)) {
-            fs::remove_file(path).map_err(of(path))?;
+        transaction.commit().map_err(store_error(&self.db_path))?;
+        for (_, path) in snapshots.iter().filter(|(n, _)| plan.snapshots.contains(n)) {
+            fs::remove_file(path).map_err(store_error(path))?;
         }
         Ok(())
     }
 
-    /// Another whole catalogue takes the place of all that was kept: its snapshot is in the folder already.
+    /// Replaces all stored data by the snapshot as of change `number`, which is in the folder already.
     pub fn reset_to_snapshot(&self, number: u64) -> Result<(), StoreError> {
-        // Changes first: none of them follows on the new snapshot.
-        let write = self.db.begin_write().map_err(of(&self.file))?;
+        // The changes go first, since none of them follows the new snapshot.
+        let transaction = self.db.begin_write().map_err(store_error(&self.db_path))?;
         {
-            let mut table = write.open_table(CHANGES).map_err(of(&self.file))?;
-            table.retain(|_, _| false).map_err(of(&self.file))?;
+            let mut table = transaction.open_table(CHANGES).map_err(store_error(&self.db_path))?;
+            table.retain(|_, _| false).map_err(store_error(&self.db_path))?;
         }
-        write.commit().map_err(of(&self.file))?;
+        transaction.commit().map_err(store_error(&self.db_path))?;
         for (_, path) in list_snapshots(&self.folder).iter().filter(|(n, _)| *n != number) {
-            fs::remove_file(path).map_err(of(path))?;
+            fs::remove_file(path).map_err(store_error(path))?;
         }
         Ok(())
     }
 
-    /// Gives room in the database's file back; returns how many changes it holds.
+    /// Compacts the database file. Returns the number of changes in it.
     pub fn compact(&mut self) -> Result<u64, StoreError> {
-        self.db.compact().map_err(of(&self.file))?;
-        let read = self.db.begin_read().map_err(of(&self.file))?;
-        read.open_table(CHANGES).map_err(of(&self.file))?.len().map_err(of(&self.file))
+        self.db.compact().map_err(store_error(&self.db_path))?;
+        let transaction = self.db.begin_read().map_err(store_error(&self.db_path))?;
+        transaction
+            .open_table(CHANGES)
+            .map_err(store_error(&self.db_path))?
+            .len()
+            .map_err(store_error(&self.db_path))
     }
 }
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -1,31 +1,37 @@
-//! A whole version as bytes: header, groups and boxes, blocks of titles, an end. Each part carries its own sum
-//! (CRC-32), so that a fault is told with its place and nothing is taken of a part that is not whole.
+//! The binary encoding of a whole version: a header, service groups and boxes, blocks of titles, and an end block. Each
+//! part has its own CRC-32, so that an error has an offset and no data of a damaged part is used.
 //!
 //! ```text
-//! header   "WNLNCAT1"  number u64  titles u64  boxes u32  bytes of groups u32           sum u32
-//! groups   each: length u8, UTF-8;  boxes, each: id u32, flags u8 (1 gone, 2 racked), rack u32   sum u32
-//! block    titles u32  bytes u32  then each title: length u16 and its packed bytes     sum u32
-//! end      a block of no titles
+//! header   "WNLNCAT1"  number u64  titles u64  boxes u32  bytes of groups u32           crc u32
+//! groups   each: length u8, UTF-8;  boxes, each: id u32, flags u8 (1 gone, 2 racked), rack u32   crc u32
+//! block    titles u32  bytes u32  then each title: length u16 and its packed bytes     crc u32
+//! end      a block without titles
 //! ```
-//! All numbers are little-endian. Writer and reader work piece by piece: neither holds the whole in memory.
+//! All numbers are little-endian. Encoder and reader work part by part: neither holds a whole snapshot in memory.
 use crate::packed_title::PackedTitle;
 use crate::version::{BoxState, Version, VersionBuilder};
 use std::sync::Arc;
 use walnutline::ids::{RackNo, ServerId};
 
 const MAGIC: &[u8; 8] = b"WNLNCAT1";
+/// Length of the header with its checksum.
 pub const HEADER_BYTES: usize = 36;
-/// A block is closed when it has grown to so many bytes; one that claims more than the second is refused.
-/// A reader works at one for some tenths of a millisecond: who reads beside other work can rest in between.
-const BLOCK: usize = 4 << 10;
-const LARGEST: usize = 1 << 20;
-const BOX: usize = 9;
-const MOST_BOXES: u32 = 1 << 20;
-
-/// What is wrong, and at which byte of the snapshot the part at fault begins.
+/// Size from which a block is closed. A reader takes a few tenths of a millisecond for one, so that a background load can
+/// pause between blocks.
+const BLOCK_BYTES: usize = 4 << 10;
+/// Largest block that a reader accepts.
+const MAX_BLOCK_BYTES: usize = 1 << 20;
+/// Encoded size of a box.
+const BOX_BYTES: usize = 9;
+/// Most boxes that a reader accepts.
+const MAX_BOXES: u32 = 1 << 20;
+
+/// Why a snapshot is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SnapshotError {
+    /// Offset in the snapshot of the invalid part, or of the invalid data in it.
     pub offset: u64,
+    /// What is invalid there.
     pub reason: String,
 }
 
@@ -35,215 +41,225 @@
     }
 }
 
-fn summed(mut bytes: Vec<u8>) -> Vec<u8> {
-    let sum = crc32fast::hash(&bytes);
-    bytes.extend(sum.to_le_bytes());
+/// Appends the checksum of a part.
+fn with_checksum(mut bytes: Vec<u8>) -> Vec<u8> {
+    let checksum = crc32fast::hash(&bytes);
+    bytes.extend(checksum.to_le_bytes());
     bytes
 }
 
-/// The pieces of a version's snapshot, in order.
-pub fn encode(v: &Version) -> impl Iterator<Item = Vec<u8>> + '_ {
+/// Encodes a version. Returns the parts of the snapshot in order.
+pub fn encode(version: &Version) -> impl Iterator<Item = Vec<u8>> + '_ {
     let groups: Vec<u8> =
-        v.groups().iter().flat_map(|g| std::iter::once(g.len() as u8).chain(g.bytes())).collect();
-    let boxes: Vec<BoxState> = v.boxes().collect();
+        version.groups().iter().flat_map(|g| std::iter::once(g.len() as u8).chain(g.bytes())).collect();
+    let boxes: Vec<BoxState> = version.boxes().collect();
     let mut header = MAGIC.to_vec();
-    header.extend(v.number().to_le_bytes());
-    header.extend((v.len() as u64).to_le_bytes());
+    header.extend(version.number().to_le_bytes());
+    header.extend((version.len() as u64).to_le_bytes());
     header.extend((boxes.len() as u32).to_le_bytes());
     header.extend((groups.len() as u32).to_le_bytes());
-    let mut places = groups;
+    let mut groups_and_boxes = groups;
     for b in boxes {
-        places.extend(b.server.0.to_le_bytes());
-        places.push(u8::from(b.gone) | u8::from(b.rack.is_some()) << 1);
-        places.extend(b.rack.map_or(0, |r| r.0).to_le_bytes());
+        groups_and_boxes.extend(b.server.0.to_le_bytes());
+        groups_and_boxes.push(u8::from(b.gone) | u8::from(b.rack.is_some()) << 1);
+        groups_and_boxes.extend(b.rack.map_or(0, |r| r.0).to_le_bytes());
     }
-    // In the order of names: who puts them together again then finds the place of each beside the one before.
-    let mut titles = v.titles_with_prefix("", None, v.len()).into_iter().peekable();
-    let mut ended = false;
+    // In name order, so that a reader adds each title to its indexes close to the one before.
+    let mut titles = version.titles_with_prefix("", None, version.len()).into_iter().peekable();
+    let mut finished = false;
     let blocks = std::iter::from_fn(move || {
-        if std::mem::replace(&mut ended, titles.peek().is_none()) {
+        if std::mem::replace(&mut finished, titles.peek().is_none()) {
             return None;
         }
         let (mut count, mut bytes) = (0u32, Vec::new());
-        while let Some(t) = titles.next_if(|_| bytes.len() < BLOCK) {
-            bytes.extend((t.as_bytes().len() as u16).to_le_bytes());
-            bytes.extend(t.as_bytes());
+        while let Some(title) = titles.next_if(|_| bytes.len() < BLOCK_BYTES) {
+            bytes.extend((title.as_bytes().len() as u16).to_le_bytes());
+            bytes.extend(title.as_bytes());
             count += 1;
         }
         let mut block = count.to_le_bytes().to_vec();
         block.extend((bytes.len() as u32).to_le_bytes());
         block.extend(bytes);
-        // The block of no titles is the end.
-        ended = count == 0;
-        Some(summed(block))
+        // A block without titles is the end.
+        finished = count == 0;
+        Some(with_checksum(block))
     });
-    [summed(header), summed(places)].into_iter().chain(blocks)
+    [with_checksum(header), with_checksum(groups_and_boxes)].into_iter().chain(blocks)
 }
 
+/// The part that a reader expects next.
 enum Part {
     Header,
-    Places { boxes: usize, groups: usize },
+    GroupsAndBoxes { boxes: usize, group_bytes: usize },
     Block,
     End,
 }
 
-/// Puts a version together from the bytes of a snapshot, as they come.
+/// Incremental reader: builds a version from the bytes of a snapshot as they arrive.
 pub struct SnapshotReader {
-    part: Part,
+    next_part: Part,
+    /// Bytes of a part that is not complete yet.
     pending: Vec<u8>,
-    /// Bytes taken before those pending.
-    at: u64,
+    /// Offset of the pending bytes in the snapshot.
+    offset: u64,
     number: u64,
-    titles: u64,
-    done: u64,
-    beside: Option<Arc<Version>>,
+    total_titles: u64,
+    titles_read: u64,
+    previous: Option<Arc<Version>>,
     builder: Option<VersionBuilder>,
 }
 
 impl SnapshotReader {
-    /// `beside`: the version that serves meanwhile; what is the same is shared with it.
-    pub fn new(beside: Option<Arc<Version>>) -> SnapshotReader {
+    /// Creates a reader. Titles that are equal in the `previous` version are shared with it.
+    pub fn new(previous: Option<Arc<Version>>) -> SnapshotReader {
         SnapshotReader {
-            part: Part::Header,
+            next_part: Part::Header,
             pending: Vec::new(),
-            at: 0,
+            offset: 0,
             number: 0,
-            titles: 0,
-            done: 0,
-            beside,
+            total_titles: 0,
+            titles_read: 0,
+            previous,
             builder: None,
         }
     }
 
-    /// Titles read, and how many there are to be.
+    /// The number of titles read so far, and of all titles.
     pub fn progress(&self) -> (u64, u64) {
-        (self.done, self.titles)
+        (self.titles_read, self.total_titles)
     }
 
-    fn bad(&self, why: impl Into<String>) -> SnapshotError {
-        SnapshotError { offset: self.at, reason: why.into() }
+    fn error(&self, reason: impl Into<String>) -> SnapshotError {
+        SnapshotError { offset: self.offset, reason: reason.into() }
     }
 
-    /// Takes bytes. After an error nothing more is to be handed in.
+    /// Takes the next bytes of the snapshot. The reader must not be used after an error.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         self.pending.extend_from_slice(bytes);
-        let mut used = 0;
+        let mut consumed = 0;
         let pending = std::mem::take(&mut self.pending);
-        while let Some(len) = self.wanted(&pending[used..])? {
-            let Some(part) = pending.get(used..used + len) else { break };
-            self.take(part)?;
-            used += len;
-            self.at += len as u64;
+        while let Some(len) = self.part_len(&pending[consumed..])? {
+            let Some(part) = pending.get(consumed..consumed + len) else { break };
+            self.read_part(part)?;
+            consumed += len;
+            self.offset += len as u64;
         }
         self.pending = pending;
-        self.pending.drain(..used);
+        self.pending.drain(..consumed);
         Ok(())
     }
 
-    /// Length of the part that is next, its sum included; `None` while too little of it is here to say.
-    fn wanted(&self, rest: &[u8]) -> Result<Option<usize>, SnapshotError> {
-        match self.part {
+    /// Length of the next part with its checksum; `None` while too few bytes are there to know.
+    fn part_len(&self, rest: &[u8]) -> Result<Option<usize>, SnapshotError> {
+        match self.next_part {
             Part::Header => Ok(Some(HEADER_BYTES)),
-            Part::Places { boxes, groups } => Ok(Some(boxes * BOX + groups + 4)),
+            Part::GroupsAndBoxes { boxes, group_bytes } => Ok(Some(boxes * BOX_BYTES + group_bytes + 4)),
             Part::Block if rest.len() < 8 => Ok(None),
-            Part::Block => match word(rest, 4) as usize {
-                len if len <= LARGEST => Ok(Some(8 + len + 4)),
-                len => Err(self.bad(format!("a block of {len} bytes, more than {LARGEST}"))),
+            Part::Block => match u32_at(rest, 4) as usize {
+                len if len <= MAX_BLOCK_BYTES => Ok(Some(8 + len + 4)),
+                len => Err(self.error(format!("block of {len} bytes exceeds {MAX_BLOCK_BYTES}"))),
             },
             Part::End if rest.is_empty() => Ok(None),
-            Part::End => Err(self.bad("bytes after its end")),
+            Part::End => Err(self.error("bytes after the end block")),
         }
     }
 
-    fn take(&mut self, part: &[u8]) -> Result<(), SnapshotError> {
-        let (bytes, sum) = part.split_at(part.len() - 4);
-        if matches!(self.part, Part::Header) && !bytes.starts_with(MAGIC) {
-            return Err(self.bad("this is no catalogue of a version that is known here"));
+    fn read_part(&mut self, part: &[u8]) -> Result<(), SnapshotError> {
+        let (bytes, checksum) = part.split_at(part.len() - 4);
+        if matches!(self.next_part, Part::Header) && !bytes.starts_with(MAGIC) {
+            return Err(self.error("not a catalogue snapshot, or of an unsupported format version"));
         }
-        if crc32fast::hash(bytes) != word(sum, 0) {
-            return Err(self.bad("the sum of this part is wrong"));
+        if crc32fast::hash(bytes) != u32_at(checksum, 0) {
+            return Err(self.error("checksum mismatch"));
         }
-        match self.part {
+        match self.next_part {
             Part::Header => {
-                (self.number, self.titles) = (long(bytes, 8), long(bytes, 16));
-                let (boxes, groups) = (word(bytes, 24), word(bytes, 28));
-                if boxes > MOST_BOXES || groups > 32 * 256 {
-                    return Err(self.bad(format!("{boxes} boxes and {groups} bytes of groups are too many")));
+                (self.number, self.total_titles) = (u64_at(bytes, 8), u64_at(bytes, 16));
+                let (boxes, group_bytes) = (u32_at(bytes, 24), u32_at(bytes, 28));
+                if boxes > MAX_BOXES || group_bytes > 32 * 256 {
+                    return Err(self.error(format!(
+                        "{boxes} boxes or {group_bytes} bytes of service groups are too many"
+                    )));
                 }
-                self.part = Part::Places { boxes: boxes as usize, groups: groups as usize };
+                self.next_part =
+                    Part::GroupsAndBoxes { boxes: boxes as usize, group_bytes: group_bytes as usize };
             }
-            Part::Places { groups, .. } => {
-                let (names, boxes) = bytes.split_at(groups);
-                let names = self.groups(names)?;
-                let builder = VersionBuilder::new(self.number, names, self.beside.take());
-                let mut builder = builder.map_err(|why| self.bad(why))?;
-                for b in boxes.chunks_exact(BOX) {
+            Part::GroupsAndBoxes { group_bytes, .. } => {
+                let (groups, boxes) = bytes.split_at(group_bytes);
+                let groups = self.decode_groups(groups)?;
+                let builder = VersionBuilder::new(self.number, groups, self.previous.take());
+                let mut builder = builder.map_err(|reason| self.error(reason))?;
+                for b in boxes.chunks_exact(BOX_BYTES) {
                     builder.add_box(BoxState {
-                        server: ServerId(word(b, 0)),
+                        server: ServerId(u32_at(b, 0)),
                         gone: b[4] & 1 != 0,
-                        rack: (b[4] & 2 != 0).then(|| RackNo(word(b, 5))),
+                        rack: (b[4] & 2 != 0).then(|| RackNo(u32_at(b, 5))),
                     });
                 }
                 self.builder = Some(builder);
-                self.part = Part::Block;
+                self.next_part = Part::Block;
             }
-            Part::Block => self.block(word(bytes, 0), &bytes[8..])?,
+            Part::Block => self.read_block(u32_at(bytes, 0), &bytes[8..])?,
             Part::End => {}
         }
         Ok(())
     }
 
-    fn groups(&self, mut bytes: &[u8]) -> Result<Vec<String>, SnapshotError> {
+    fn decode_groups(&self, mut bytes: &[u8]) -> Result<Vec<String>, SnapshotError> {
         let mut names = Vec::new();
         while let Some((len, rest)) = bytes.split_first() {
             let name = rest.get(..usize::from(*len)).and_then(|n| std::str::from_utf8(n).ok());
-            let name = name.ok_or_else(|| self.bad("a service group's name is cut short or no UTF-8"))?;
+            let name = name
+                .ok_or_else(|| self.error("the name of a service group is truncated or not valid UTF-8"))?;
             names.push(name.to_owned());
             bytes = &rest[usize::from(*len)..];
         }
         Ok(names)
     }
 
-    fn block(&mut self, count: u32, mut bytes: &[u8]) -> Result<(), SnapshotError> {
-        let (at, len) = (self.at, bytes.len());
+    fn read_block(&mut self, count: u32, mut bytes: &[u8]) -> Result<(), SnapshotError> {
+        let (offset, len) = (self.offset, bytes.len());
         for _ in 0..count {
-            let within = at + 8 + (len - bytes.len()) as u64;
-            let bad = |at: u64, why: String| SnapshotError { offset: within + at, reason: why };
-            let n = bytes.get(..2).map(|b| usize::from(u16::from_le_bytes([b[0], b[1]])));
-            let title = n.and_then(|n| bytes.get(2..2 + n));
-            let title = title.ok_or_else(|| bad(0, "a title that is cut short".into()))?;
-            let packed = PackedTitle::parse(title).map_err(|e| bad(2 + e.offset as u64, e.reason))?;
-            let builder = self.builder.as_mut().ok_or_else(|| bad(0, "titles before boxes".into()))?;
-            builder.add_title(packed).map_err(|why| bad(0, why))?;
+            let title_offset = offset + 8 + (len - bytes.len()) as u64;
+            let error = |at: u64, reason: String| SnapshotError { offset: title_offset + at, reason };
+            let title_len = bytes.get(..2).map(|b| usize::from(u16::from_le_bytes([b[0], b[1]])));
+            let title = title_len.and_then(|n| bytes.get(2..2 + n));
+            let title = title.ok_or_else(|| error(0, "title truncated".into()))?;
+            let packed = PackedTitle::parse(title).map_err(|e| error(2 + e.offset as u64, e.reason))?;
+            let builder = self.builder.as_mut().ok_or_else(|| error(0, "titles before the boxes".into()))?;
+            builder.add_title(packed).map_err(|reason| error(0, reason))?;
             bytes = &bytes[2 + title.len()..];
-            self.done += 1;
+            self.titles_read += 1;
         }
         if !bytes.is_empty() {
-            return Err(self.bad(format!("{} bytes of a block belong to no title", bytes.len())));
+            return Err(self.error(format!("{} bytes after the last title of a block", bytes.len())));
         }
         if count == 0 {
-            if self.done != self.titles {
-                return Err(self.bad(format!("it ends after {} of {} titles", self.done, self.titles)));
+            if self.titles_read != self.total_titles {
+                return Err(self
+                    .error(format!("end block after {} of {} titles", self.titles_read, self.total_titles)));
             }
-            self.part = Part::End;
+            self.next_part = Part::End;
         }
         Ok(())
     }
 
-    /// The version, once all bytes are handed in.
+    /// Returns the version, after all bytes of the snapshot.
     pub fn finish(self) -> Result<Version, SnapshotError> {
-        let short = self.at + self.pending.len() as u64;
-        match (self.part, self.builder) {
+        let len = self.offset + self.pending.len() as u64;
+        match (self.next_part, self.builder) {
             (Part::End, Some(builder)) => Ok(builder.finish()),
-            _ => Err(SnapshotError { offset: short, reason: "it ends here, before its end".into() }),
+            _ => Err(SnapshotError { offset: len, reason: "snapshot truncated".into() }),
         }
     }
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
-    bytes[at..at + 4].iter().rev().fold(0, |sum, b| sum << 8 | u32::from(*b))
+/// The little-endian `u32` at an offset.
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    bytes[offset..offset + 4].iter().rev().fold(0, |sum, b| sum << 8 | u32::from(*b))
 }
 
-fn long(bytes: &[u8], at: usize) -> u64 {
-    u64::from(word(bytes, at)) | u64::from(word(bytes, at + 4)) << 32
+/// The little-endian `u64` at an offset.
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from(u32_at(bytes, offset)) | u64::from(u32_at(bytes, offset + 4)) << 32
 }
